--- a/tests/forward/test_parts.py
+++ b/tests/forward/test_parts.py
@@ -6,14 +6,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leadhollow.decide.engine_model import (
-    FIXED_MS,
+from leadhollow.decide.engine_latency import (
+    FIXED_OVERHEAD_MS,
     UNREAD_SHARE,
     WAITING_SHARE,
-    EngineDemand,
-    EngineModel,
+    EngineLatencyModel,
+    EngineLoad,
 )
-from leadhollow.decide.health import FAILURES_TO_EJECT, FIRST_EJECTION_S, Health
+from leadhollow.decide.health import FAILURES_TO_EJECT, MIN_EJECTION_S, Health
 from leadhollow.decide.retry_budget import RATIO_USED, SLACK_USED, RetryBudget
 from leadhollow.forward.events import EventSplitter
 from leadhollow.routing.model import EngineSpec
@@ -39,7 +39,7 @@
         taken = 0
         for _ in range(4):
             part = budget(clock, entries=4)
-            while part.take("s"):
+            while part.try_acquire("s"):
                 taken += 1
         assert taken <= 100.0
         assert taken >= 100.0 * SLACK_USED - 4
@@ -47,26 +47,26 @@
     def test_grows_with_requests(self):
         clock = Clock()
         part = budget(clock)
-        before = part.left("s")
+        before = part.remaining("s")
         for _ in range(100):
-            part.note_request("s")
-        assert part.left("s") == pytest.approx(before + 100 * 0.2 * RATIO_USED)
+            part.record_request("s")
+        assert part.remaining("s") == pytest.approx(before + 100 * 0.2 * RATIO_USED)
 
     def test_is_kept_for_each_service(self):
         part = budget(Clock())
-        while part.take("a"):
+        while part.try_acquire("a"):
             pass
-        assert part.take("b")
+        assert part.try_acquire("b")
 
     def test_comes_back_as_the_window_slides(self):
         clock = Clock()
         part = budget(clock)
-        while part.take("s"):
+        while part.try_acquire("s"):
             pass
         clock.now_s += 9.9
-        assert not part.take("s")
+        assert not part.try_acquire("s")
         clock.now_s += 0.2
-        assert part.take("s")
+        assert part.try_acquire("s")
 
     @given(st.lists(st.tuples(st.floats(0, 3), st.booleans()), max_size=200))
     def test_no_window_holds_more_than_is_allowed(self, steps):
@@ -75,10 +75,10 @@
         requests, repeats = [], []
         for pause_s, repeat in steps:
             clock.now_s += pause_s
-            if repeat and part.take("s"):
+            if repeat and part.try_acquire("s"):
                 repeats.append(clock.now_s)
             elif not repeat:
-                part.note_request("s")
+                part.record_request("s")
                 requests.append(clock.now_s)
             inside = [moment for moment in repeats if moment > clock.now_s - 10]
             asked = [moment for moment in requests if moment > clock.now_s - 10]
@@ -88,95 +88,95 @@
 class TestHealth:
     def test_a_single_failure_changes_nothing(self):
         health = Health()
-        assert not health.note_failure(1.0)
+        assert not health.record_failure(1.0)
         assert health.usable(1.0)
 
     def test_failures_in_a_row_eject_for_a_while(self):
         health = Health()
         for _ in range(FAILURES_TO_EJECT):
-            health.note_failure(1.0)
+            health.record_failure(1.0)
         assert not health.usable(1.0)
-        assert health.usable(1.0 + FIRST_EJECTION_S)
+        assert health.usable(1.0 + MIN_EJECTION_S)
 
     def test_a_success_between_starts_anew(self):
         health = Health()
         for _ in range(FAILURES_TO_EJECT - 1):
-            health.note_failure(1.0)
-        health.note_success()
-        health.note_failure(1.0)
+            health.record_failure(1.0)
+        health.record_success()
+        health.record_failure(1.0)
         assert health.usable(1.0)
 
     def test_comes_back_with_one_request_at_a_time(self):
         health = Health()
-        health.note_failure(1.0, weight=FAILURES_TO_EJECT)
-        later = 1.0 + FIRST_EJECTION_S
+        health.record_failure(1.0, weight=FAILURES_TO_EJECT)
+        later = 1.0 + MIN_EJECTION_S
         assert health.usable(later)
-        health.note_start(later)
+        health.record_start(later)
         assert not health.usable(later)
-        health.note_success()
+        health.record_success()
         assert health.usable(later)
 
     def test_each_failed_return_takes_longer(self):
         health = Health()
-        health.note_failure(0.0, weight=FAILURES_TO_EJECT)
-        now_s = FIRST_EJECTION_S
-        health.note_start(now_s)
-        health.note_failure(now_s)
-        assert not health.usable(now_s + FIRST_EJECTION_S)
-        assert health.usable(now_s + 2 * FIRST_EJECTION_S)
+        health.record_failure(0.0, weight=FAILURES_TO_EJECT)
+        now_s = MIN_EJECTION_S
+        health.record_start(now_s)
+        health.record_failure(now_s)
+        assert not health.usable(now_s + MIN_EJECTION_S)
+        assert health.usable(now_s + 2 * MIN_EJECTION_S)
 
     def test_a_caller_that_leaves_frees_the_trial(self):
         health = Health()
-        health.note_failure(0.0, weight=FAILURES_TO_EJECT)
-        health.note_start(1.0)
-        health.note_neutral()
+        health.record_failure(0.0, weight=FAILURES_TO_EJECT)
+        health.record_start(1.0)
+        health.record_inconclusive()
         assert health.usable(1.0)
 
     def test_one_that_began_to_answer_gets_more_than_one_request_again(self):
         health = Health()
         for _ in range(FAILURES_TO_EJECT):
-            health.note_failure(1.0)
-        back_s = 1.0 + FIRST_EJECTION_S
-        health.note_start(back_s)
+            health.record_failure(1.0)
+        back_s = 1.0 + MIN_EJECTION_S
+        health.record_start(back_s)
         assert not health.usable(back_s)
-        health.note_begun()
+        health.record_first_event()
         assert health.usable(back_s)
 
     def test_one_that_began_to_answer_and_fails_again_is_out_of_use_at_once(self):
         health = Health()
         for _ in range(FAILURES_TO_EJECT):
-            health.note_failure(1.0)
-        back_s = 1.0 + FIRST_EJECTION_S
-        health.note_start(back_s)
-        health.note_begun()
-        health.note_failure(back_s)
-        assert not health.usable(back_s + FIRST_EJECTION_S)
+            health.record_failure(1.0)
+        back_s = 1.0 + MIN_EJECTION_S
+        health.record_start(back_s)
+        health.record_first_event()
+        health.record_failure(back_s)
+        assert not health.usable(back_s + MIN_EJECTION_S)
 
 
 class TestReachability:
     def test_a_server_that_cannot_be_reached_gets_no_request_while_connections_fail(self):
         health = Health()
-        health.note_unreachable(1.0)
+        health.record_unreachable(1.0)
         for tenth in range(10, 100):
-            health.note_still_unreachable(tenth / 10)
+            health.record_still_unreachable(tenth / 10)
             assert not health.usable(tenth / 10 + 0.1)
 
     def test_one_request_tries_it_as_soon_as_a_connection_opens(self):
         health = Health()
         for _ in range(4):
-            health.note_unreachable(1.0)
-        health.note_reachable(1.5)
+            health.record_unreachable(1.0)
+        health.record_reachable(1.5)
         assert health.usable(1.5)
-        health.note_start(1.5)
+        health.record_start(1.5)
         assert not health.usable(1.5)
-        health.note_success()
+        health.record_success()
         assert health.usable(1.5)
         assert not health.unreachable
 
     def test_a_server_that_fails_requests_is_not_called_unreachable(self):
         health = Health()
         for _ in range(FAILURES_TO_EJECT):
-            health.note_failure(1.0)
+            health.record_failure(1.0)
         assert not health.unreachable
 
 
@@ -224,8 +224,8 @@
 
 
 def first_ms(*, requests: float = 0, unread: float = 0, prompt: int = 1_000, pace: float = 1.0):
-    model = EngineModel(spec=SPEC)
-    demand = EngineDemand(
+    model = EngineLatencyModel(spec=SPEC)
+    demand = EngineLoad(
         requests=requests,
         unread_tokens=unread,
         context_tokens=model.usual_context_tokens(min(requests, 16)),
@@ -236,7 +236,7 @@
 
 class TestEngineModel:
     def test_an_idle_engine_reads_and_makes_one_pass(self):
-        assert first_ms() == pytest.approx(FIXED_MS + 1000 / 20.7 + 5 * 9.27, rel=0.05)
+        assert first_ms() == pytest.approx(FIXED_OVERHEAD_MS + 1000 / 20.7 + 5 * 9.27, rel=0.05)
 
     @pytest.mark.parametrize(
         ("less", "more"),
@@ -253,7 +253,7 @@
         assert first_ms(**less) < first_ms(**more)
 
     def test_a_full_batch_makes_the_next_one_wait_for_a_place(self):
-        usual = EngineModel(spec=SPEC).request_ms(979, 92)
+        usual = EngineLatencyModel(spec=SPEC).request_ms(979, 92)
         longer_ms = first_ms(requests=16) - first_ms(requests=15)
         assert longer_ms == pytest.approx(WAITING_SHARE * usual, rel=0.1)
 
--- a/tests/forward/test_path_probes.py
+++ b/tests/forward/test_path_probes.py
@@ -42,7 +42,7 @@
             pool = ConnectionPool()
             prober = PathProber(board=board, pool=pool)
             await prober.start()
-            server.health.note_unreachable(loop.time())
+            server.health.record_unreachable(loop.time())
             await asyncio.sleep(OUTAGE_S)
             assert not server.health.usable(loop.time())
             host, _, port = address.partition(":")
--- a/tests/forward/test_self_report_fleet.py
+++ b/tests/forward/test_self_report_fleet.py
@@ -93,7 +93,7 @@
             server.claim_send(call)
             said = AnswerFacts(attempt_id=None, signed=True, not_executed=False, **facts)
             self.reports.note_answer(server, said, sent_s=None, call=call)
-            server.remove(call, 0.0)
+            server.remove_call(call, 0.0)
 
     def may_send(self) -> bool:
         server = self.board.server(NAME)
@@ -101,7 +101,7 @@
             return False
         call = OwnCall(prompt_tokens=0, output_tokens=0, placed_s=0.0, predicted_ms=0.0)
         allowed = server.claim_send(call) is None
-        server.remove(call, 0.0)
+        server.remove_call(call, 0.0)
         return allowed
 
 
--- a/tests/forward/test_stream_run.py
+++ b/tests/forward/test_stream_run.py
@@ -72,7 +72,7 @@
             world = StreamWorld()
             health, now_s = world.servers["B"].health, asyncio.get_running_loop().time()
             for _ in range(3):
-                health.note_failure(now_s - 1.0)
+                health.record_failure(now_s - 1.0)
             await asked_beside(world)
             assert not health.usable(now_s + 10.0)
             world.answers["A"].write(event(1))
--- a/tests/kernel/test_clocks.py
+++ b/tests/kernel/test_clocks.py
@@ -17,7 +17,7 @@
 
 import leadhollow
 from leadhollow.control.confirmation import Confirmation
-from leadhollow.decide.versions import VersionPolicy
+from leadhollow.decide.version_policy import VersionPolicy
 from leadhollow.forward.call import ForwardedCall
 from leadhollow.forward.dialect import CallFacts
 from leadhollow.forward.pool import ConnectionPool
--- a/tests/membership/test_entry_count.py
+++ b/tests/membership/test_entry_count.py
@@ -20,7 +20,7 @@
 
 def sum_of_budgets(clock: Clock, counts: list[EntryCount]) -> float:
     budgets = [RetryBudget(bounds=Bounds(), entries=one.most, clock=clock) for one in counts]
-    return sum(budget.left("s") for budget in budgets)
+    return sum(budget.remaining("s") for budget in budgets)
 
 
 def told(clock: Clock, number: int) -> list[EntryCount]:
--- a/tests/membership/test_limit_news.py
+++ b/tests/membership/test_limit_news.py
@@ -10,8 +10,8 @@
 
 from leadhollow.codes import Code
 from leadhollow.control.use_news import FAR_BYTES_PER_S, NEAR_BYTES_PER_S
-from leadhollow.decide.limit_table import LIMITS_KEPT, NEVER_S, LimitTable, ServerLimit
-from leadhollow.decide.share_ledger import LEASE_S, EntryDemand, LimitedServer, ShareLedger
+from leadhollow.decide.limit_table import MAX_LIMITS, NEVER_S, LimitTable, ServerLimit
+from leadhollow.decide.share_allocator import LEASE_S, EntryDemand, LimitedServer, ShareAllocator
 from leadhollow.membership.limit_news import (
     decode_limits,
     decode_request,
@@ -47,13 +47,13 @@
         said = ServerLimit(
             life="i-1@5",
             per_s=per_s,
-            named_s=NOW_S - named_ms / 1000,
+            advertised_s=NOW_S - named_ms / 1000,
             lifted_s=NEVER_S if lifted_ms is None else NOW_S - lifted_ms / 1000,
         )
         news = LimitNews("", 0, encode_limits([said], NOW_S), [])
         heard = decode_limits(news, NOW_S + 7.0).unwrap()[0]
         assert (heard.life, heard.per_s) == (said.life, said.per_s)
-        assert heard.named_s - 7.0 == pytest.approx(said.named_s, abs=1e-3)
+        assert heard.advertised_s - 7.0 == pytest.approx(said.advertised_s, abs=1e-3)
         assert (heard.in_force is None) == (said.in_force is None)
 
     @pytest.mark.parametrize("per_s", [None, -1.0, math.nan, math.inf])
@@ -64,7 +64,7 @@
     def test_of_no_life_or_of_too_many_are_not_taken(self):
         for records in (
             [LimitRecord("", 1.0, 0, -1)],
-            [LimitRecord(f"i-{number}@0", 1.0, 0, -1) for number in range(LIMITS_KEPT + 1)],
+            [LimitRecord(f"i-{number}@0", 1.0, 0, -1) for number in range(MAX_LIMITS + 1)],
         ):
             decoded = decode_limits(LimitNews("", 0, records, []), NOW_S)
             assert decoded.unwrap_err().code is Code.FRAME_MALFORMED
@@ -95,7 +95,7 @@
 class TestCost:
     def test_of_many_limits_fits_into_what_control_may_send_an_entry(self):
         now_s = [NOW_S]
-        ledger = ShareLedger(clock=lambda: now_s[0], entries=lambda: ENTRIES)
+        ledger = ShareAllocator(clock=lambda: now_s[0], entries=lambda: ENTRIES)
         servers = [
             LimitedServer(
                 life=f"i-{number:010x}@1771657612084",
@@ -115,7 +115,7 @@
                     per_s={"dispatch-model": 25.0},
                     heard_s=now_s[0],
                 )
-                leased[demand.vm] = ledger.ask(demand, servers)
+                leased[demand.vm] = ledger.lease_shares(demand, servers)
         sizes = [self.lease_bytes(vm, shares) for vm, shares in leased.items()]
         left_bytes_per_s = DAEMON_BYTES_PER_S - NEAR_BYTES_PER_S - FAR_BYTES_PER_S
         assert max(sizes) * ASKS_PER_S < left_bytes_per_s
@@ -125,7 +125,7 @@
         lease = LimitLease(
             vm, 86_400_000, [LimitShare(life, share) for life, share in shares.items()]
         )
-        news = LimitNews("10.1.0.40:7380", LimitTable().mark(), [], [])
+        news = LimitNews("10.1.0.40:7380", LimitTable().checksum(), [], [])
         with_lease = FeedUpdate(limits=news, limit_lease=lease)
         frame = Frame(kind=FrameKind.ITEM, call_id=1, body=with_lease)
         return len(encode_frame(frame))
--- a/tests/membership/test_naming_times.py
+++ b/tests/membership/test_naming_times.py
@@ -7,7 +7,7 @@
 import pytest
 
 from leadhollow.control.version_ages import UP_TO_DATE_MS, VersionAges
-from leadhollow.decide.versions import MARGIN_S, VersionPolicy
+from leadhollow.decide.version_policy import SEND_MARGIN_S, VersionPolicy
 from leadhollow.membership.naming_times import NamingTimes
 from leadhollow.settings.node import Bounds
 from leadhollow.state.catalog import Catalog
@@ -79,7 +79,7 @@
         times.learn([VersionAge("m", 2, 5_000)])
         name(self.catalog, 2)
         assert policy.oldest_allowed("m") == 0
-        clock.now_s += VERSION_MS / 1000 - 5.0 - MARGIN_S + 0.01
+        clock.now_s += VERSION_MS / 1000 - 5.0 - SEND_MARGIN_S + 0.01
         assert policy.oldest_allowed("m") == 2
         assert policy.begin_by_s("m", 1) < 1_000.0 + 3.0
 
--- a/tests/membership/test_suspect_news.py
+++ b/tests/membership/test_suspect_news.py
@@ -8,7 +8,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.decide.server_ends import ServerEnd, Verdict
-from leadhollow.decide.suspects import RAN_KEPT, SuspectTable
+from leadhollow.decide.suspects import MAX_REQUESTS_PER_END, SuspectTable
 from leadhollow.membership.suspect_news import MOST_RECORDS, encode_news, everything, take_news
 from leadhollow.wire.generated.ttypes import ServerEnd as EndRecord
 from leadhollow.wire.generated.ttypes import SuspectNews
@@ -25,9 +25,9 @@
 
 def a_full_table() -> SuspectTable:
     table = a_table()
-    table.take_end(ServerEnd(life="i-1@1", ran=[GOOD, BAD], cleared=[GOOD], happened_s=NOW_S - 3))
-    table.take_end(ServerEnd(life="i-2@1", ran=[BAD], alive=True, happened_s=NOW_S - 2))
-    table.take_verdict(
+    table.merge_end(ServerEnd(life="i-1@1", ran=[GOOD, BAD], cleared=[GOOD], happened_s=NOW_S - 3))
+    table.merge_end(ServerEnd(life="i-2@1", ran=[BAD], alive=True, happened_s=NOW_S - 2))
+    table.merge_verdict(
         Verdict(fingerprint=BAD, number=2, released=False, lives=("i-1@1",), since_s=NOW_S - 1)
     )
     return table
@@ -40,8 +40,8 @@
         changed = take_news(other, news, NOW_S + 0.1).unwrap()
         assert changed.lives == {"i-1@1", "i-2@1"}
         assert changed.fingerprints == {BAD}
-        assert other.mark() == told.mark() == news.mark
-        assert other.holds(BAD)
+        assert other.checksum() == told.checksum() == news.mark
+        assert other.is_quarantined(BAD)
         end = other.end("i-1@1")
         assert end is not None
         assert end.happened_s == pytest.approx(NOW_S - 2.9)
@@ -55,7 +55,7 @@
     def test_of_one_end_under_sixteen_requests_take_half_a_kilobyte(self):
         table = a_table()
         ran = [bytes([number]) * 16 for number in range(16)]
-        table.take_end(ServerEnd(life="i-0123456789@1764736000000", ran=ran, happened_s=NOW_S))
+        table.merge_end(ServerEnd(life="i-0123456789@1764736000000", ran=ran, happened_s=NOW_S))
         news = encode_news(table, everything(table), NOW_S)
         assert len(serialize(news, TCompactProtocolAcceleratedFactory())) < 400
 
@@ -67,18 +67,20 @@
             SuspectNews("", 1, [EndRecord("", [GOOD], [], 0, False)], []),
             SuspectNews("", 1, [], [VerdictRecord(None, 1, False, [], 0)]),
             SuspectNews("", 1, [], [VerdictRecord(GOOD, 1, False, [], 0)] * (MOST_RECORDS + 1)),
-            SuspectNews("", 1, [EndRecord("i", [GOOD] * (RAN_KEPT + 1), [], 0, False)], []),
+            SuspectNews(
+                "", 1, [EndRecord("i", [GOOD] * (MAX_REQUESTS_PER_END + 1), [], 0, False)], []
+            ),
         ],
         ids=["short", "long", "no life", "no request", "too many", "too many of one"],
     )
     def test_that_make_no_sense_are_refused_whole(self, news):
         table = a_full_table()
-        before = table.mark()
+        before = table.checksum()
         news.verdicts = [*(news.verdicts or ()), VerdictRecord(GOOD, 9, False, [], 0)]
         refused = take_news(table, news, NOW_S)
         assert refused.unwrap_err().code is Code.FRAME_MALFORMED
-        assert table.mark() == before
-        assert not table.holds(GOOD)
+        assert table.checksum() == before
+        assert not table.is_quarantined(GOOD)
 
     def test_without_fields_say_nothing(self):
         assert not take_news(a_table(), SuspectNews(), NOW_S).unwrap()
--- a/tests/node/test_wakes.py
+++ b/tests/node/test_wakes.py
@@ -13,7 +13,7 @@
 from leadhollow.node.entry_role import Dispatching
 from leadhollow.staging.link_gauge import INTERVAL_S, PROBES_PER_S, LinkGauge
 from leadhollow.staging.load_reports import ask_interval_s
-from tests.decide.test_engine_queue import Group, a_wish
+from tests.decide.test_engine_queue import EnginePool, make_request
 
 SPAN_S = 0.5
 
@@ -50,7 +50,7 @@
 
 class TestAnEntry:
     async def test_that_has_room_for_all_does_not_wake_to_look_for_places(self, monkeypatch):
-        group, looks = Group(), []
+        group, looks = EnginePool(), []
         monkeypatch.setattr(entry_role, "TIDY_INTERVAL_S", 60.0)
         monkeypatch.setattr(EngineQueue, "pump", lambda self: looks.append(1))
         working = asyncio.create_task(_dispatching(group)._work())
@@ -59,18 +59,18 @@
         assert looks == []
 
     async def test_looks_again_and_again_while_a_request_waits(self, monkeypatch):
-        group, looks = Group(), []
+        group, looks = EnginePool(), []
         monkeypatch.setattr(entry_role, "TIDY_INTERVAL_S", 60.0)
         working = asyncio.create_task(_dispatching(group)._work())
         await asyncio.sleep(0.01)
-        group.queue.submit(a_wish(decide_s=60.0))
+        group.queue.submit(make_request(decide_s=60.0))
         monkeypatch.setattr(EngineQueue, "pump", lambda self: looks.append(1))
         await asyncio.sleep(SPAN_S)
         working.cancel()
         assert len(looks) >= 3
 
 
-def _dispatching(group: Group) -> Dispatching:
+def _dispatching(group: EnginePool) -> Dispatching:
     """Make the part that looks for places, before engines of a group."""
     made = Dispatching.__new__(Dispatching)
     made.queue = group.queue
--- a/tests/soak/test_limits.py
+++ b/tests/soak/test_limits.py
@@ -6,7 +6,7 @@
 import contextlib
 from pathlib import Path
 
-from leadhollow.decide.send_allowance import SPARE_PART
+from leadhollow.decide.send_limiter import UNLEASED_SHARE
 from tests.soak.traffic import Callers, Operator
 from tests.soak.world import World
 
@@ -44,6 +44,6 @@
     # Guards against: entries whose replica does not lead get no leases, and leave limits unused.
     def test_are_leased_and_kept(self, tmp_path):
         arrived, exceeded = asyncio.run(arrivals_at_limited_engines(tmp_path))
-        without_leases = 3 * SPARE_PART * LIMIT_PER_S * WATCHED_S
+        without_leases = 3 * UNLEASED_SHARE * LIMIT_PER_S * WATCHED_S
         assert exceeded == [False, False, False]
         assert arrived > 1.5 * without_leases
