--- a/tests/decide/test_suspects.py
+++ b/tests/decide/test_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are put in quarantine, by who ran where when servers ended."""
+"""Tests of which requests are put in quarantine, given the requests at each server end."""
 
 from __future__ import annotations
 
@@ -7,13 +7,19 @@
 
 import pytest
 
-from leadhollow.decide.quarantine_rules import CHANCE_ENDS, MASS_ENDS, MASS_S, SETTLE_S, TIED_ENDS
+from leadhollow.decide.quarantine_rules import (
+    COMMON_CAUSE_ENDS,
+    COMMON_CAUSE_WINDOW_S,
+    SETTLE_S,
+    TIED_ENDS,
+    UNEXPLAINED_ENDS,
+)
 from leadhollow.decide.server_ends import ServerEnd, Verdict
-from leadhollow.decide.suspects import END_VALID_S, ENDS_KEPT, MAX_REQUESTS_PER_END, SuspectTable
+from leadhollow.decide.suspects import END_VALID_S, MAX_ENDS, MAX_REQUESTS_PER_END, SuspectTable
 
 CRASHER = b"c" * 16
 OTHER = b"o" * 16
-STEP_S = 0.3  # between two ends
+STEP_S = 0.3  # time between two ends
 
 
 class Clock:
@@ -25,7 +31,7 @@
 
 
 class Fleet:
-    """A table, and ends that happen one after the other."""
+    """A table, and servers that end one after another."""
 
     def __init__(self) -> None:
         self.clock = Clock()
@@ -39,7 +45,7 @@
         self.table.merge_end(ServerEnd(life=life, ran=ran, happened_s=self.clock.now_s))
         return life
 
-    def judge(self) -> list[bytes]:
+    def evaluate(self) -> list[bytes]:
         self.clock.now_s += SETTLE_S + 0.001
         return [verdict.fingerprint for verdict in self.table.update_quarantine()]
 
@@ -49,157 +55,157 @@
 
 
 class TestQuarantine:
-    def test_holds_a_request_under_which_three_servers_ended(self):
+    def test_takes_a_request_that_was_present_at_three_ends(self):
         fleet = Fleet()
         for _ in range(2):
             fleet.end(CRASHER)
-            assert fleet.judge() == []
+            assert fleet.evaluate() == []
         fleet.end(CRASHER)
-        assert fleet.judge() == [CRASHER]
+        assert fleet.evaluate() == [CRASHER]
         assert fleet.table.is_quarantined(CRASHER)
 
-    def test_names_the_one_that_was_there_each_time(self):
+    def test_takes_the_one_request_that_was_present_at_each_end(self):
         fleet = Fleet()
         for turn in range(3):
             fleet.end(CRASHER, *(request(16 * turn + other) for other in range(15)))
-        assert fleet.judge() == [CRASHER]
+        assert fleet.evaluate() == [CRASHER]
 
-    def test_leaves_out_who_rode_along(self):
+    def test_spares_a_request_that_was_present_by_coincidence(self):
         fleet = Fleet()
         fleet.end(CRASHER, OTHER)
         fleet.end(CRASHER, OTHER)
         fleet.end(CRASHER)
         fleet.end(OTHER, request(1), request(2))
-        assert fleet.judge() == [CRASHER]
-        fleet.end(CRASHER, OTHER)  # a copy that was on its way
-        assert fleet.judge() == []
+        assert fleet.evaluate() == [CRASHER]
+        fleet.end(CRASHER, OTHER)  # a repeat that was already in flight
+        assert fleet.evaluate() == []
 
-    def test_waits_where_nothing_tells_two_apart(self):
+    def test_waits_while_the_evidence_does_not_distinguish_two_requests(self):
         fleet = Fleet()
         for _ in range(3):
             fleet.end(CRASHER, OTHER)
-        assert fleet.judge() == []
+        assert fleet.evaluate() == []
         fleet.end(CRASHER)
-        assert fleet.judge() == [CRASHER]
+        assert fleet.evaluate() == [CRASHER]
 
-    def test_of_another_request_does_not_wait_for_those(self):
+    def test_takes_an_unambiguous_request_despite_tied_ones(self):
         fleet = Fleet()
         for _ in range(4):
             fleet.end(CRASHER, OTHER)
         for _ in range(3):
             fleet.end(request(7))
-        assert fleet.judge() == [request(7)]
+        assert fleet.evaluate() == [request(7)]
 
-    def test_holds_all_that_were_always_there_together_in_the_end(self):
+    def test_takes_all_tied_requests_after_enough_ends(self):
         fleet = Fleet()
         for _ in range(TIED_ENDS):
             fleet.end(CRASHER, OTHER)
-        assert sorted(fleet.judge()) == [CRASHER, OTHER]
+        assert sorted(fleet.evaluate()) == [CRASHER, OTHER]
 
-    def test_judges_an_end_only_when_all_had_time_to_tell_of_it(self):
+    def test_waits_until_all_entries_could_report_an_end(self):
         fleet = Fleet()
         for _ in range(3):
             fleet.end(CRASHER)
         assert fleet.table.update_quarantine() == []
-        assert fleet.judge() == [CRASHER]
+        assert fleet.evaluate() == [CRASHER]
 
-    def test_takes_servers_that_end_together_with_others_for_one(self):
+    def test_counts_simultaneous_ends_with_a_common_cause_once(self):
         fleet = Fleet()
-        for number in range(MASS_ENDS):
-            fleet.end(request(number), after_s=MASS_S / 8)
+        for number in range(COMMON_CAUSE_ENDS):
+            fleet.end(request(number), after_s=COMMON_CAUSE_WINDOW_S / 8)
         for _ in range(3):
-            fleet.end(CRASHER, after_s=MASS_S / 8)
+            fleet.end(CRASHER, after_s=COMMON_CAUSE_WINDOW_S / 8)
         fleet.end(CRASHER)
-        assert fleet.judge() == []
+        assert fleet.evaluate() == []
         fleet.end(CRASHER)
-        assert fleet.judge() == [CRASHER]
+        assert fleet.evaluate() == [CRASHER]
 
-    def test_asks_for_one_more_end_while_many_end_for_no_known_cause(self):
+    def test_requires_one_more_end_while_many_ends_are_unexplained(self):
         fleet = Fleet()
-        for number in range(CHANCE_ENDS):
+        for number in range(UNEXPLAINED_ENDS):
             fleet.end(request(number))
         for _ in range(3):
             fleet.end(CRASHER)
-        assert fleet.judge() == []
+        assert fleet.evaluate() == []
         fleet.end(CRASHER)
-        assert fleet.judge() == [CRASHER]
+        assert fleet.evaluate() == [CRASHER]
 
-    def test_counts_each_of_those_that_end_together_where_all_ran_it(self):
+    def test_counts_each_simultaneous_end_if_all_ran_the_request(self):
         fleet = Fleet()
         fleet.end(OTHER)
         for _ in range(3):
-            fleet.end(CRASHER, after_s=STEP_S if fleet.lives == 1 else MASS_S / 4)
-        assert fleet.judge() == [CRASHER]
+            fleet.end(CRASHER, after_s=STEP_S if fleet.lives == 1 else COMMON_CAUSE_WINDOW_S / 4)
+        assert fleet.evaluate() == [CRASHER]
 
-    def test_does_not_count_a_server_twice(self):
+    def test_counts_each_life_only_once(self):
         fleet = Fleet()
         life = fleet.end(CRASHER)
         fleet.end(CRASHER)
         assert not fleet.table.merge_end(
             ServerEnd(life=life, ran=[CRASHER], happened_s=fleet.clock.now_s)
         )
-        assert fleet.judge() == []
+        assert fleet.evaluate() == []
 
 
-class TestGoodEnds:
-    def test_clear_a_request(self):
+class TestClear:
+    def test_discards_earlier_ends_of_a_request(self):
         fleet = Fleet()
         for _ in range(2):
             fleet.end(CRASHER)
         assert len(fleet.table.clear(CRASHER)) == 2
         fleet.end(CRASHER)
-        assert fleet.judge() == []
+        assert fleet.evaluate() == []
 
-    def test_let_it_go_where_it_was_held(self):
+    def test_releases_a_quarantined_request(self):
         fleet = Fleet()
         for _ in range(3):
             fleet.end(CRASHER)
-        fleet.judge()
+        fleet.evaluate()
         fleet.table.clear(CRASHER)
         assert not fleet.table.is_quarantined(CRASHER)
-        assert fleet.judge() == []
+        assert fleet.evaluate() == []
 
-    def test_do_not_clear_it_of_what_comes_later(self):
+    def test_does_not_discard_later_ends(self):
         fleet = Fleet()
         fleet.end(CRASHER)
         fleet.table.clear(CRASHER)
         for _ in range(3):
             fleet.end(CRASHER)
-        assert fleet.judge() == [CRASHER]
+        assert fleet.evaluate() == [CRASHER]
 
 
-class TestServersThatAnswerAgain:
-    def test_had_not_ended(self):
+class TestMarkAlive:
+    def test_discards_the_end_and_releases_the_request(self):
         fleet = Fleet()
         lives = [fleet.end(CRASHER) for _ in range(3)]
-        assert fleet.judge() == [CRASHER]
+        assert fleet.evaluate() == [CRASHER]
         assert fleet.table.mark_alive(lives[0])
         assert not fleet.table.mark_alive(lives[0])
         assert not fleet.table.is_quarantined(CRASHER)
-        assert fleet.judge() == []
+        assert fleet.evaluate() == []
 
-    def test_say_nothing_of_ends_that_nobody_knows(self):
+    def test_ignores_a_life_without_a_known_end(self):
         assert not Fleet().table.mark_alive("i-1@1")
 
 
 class TestRelease:
-    def test_lets_a_request_go_until_three_more_servers_end(self):
+    def test_lasts_until_three_more_servers_end(self):
         fleet = Fleet()
         for _ in range(3):
             fleet.end(CRASHER)
-        fleet.judge()
+        fleet.evaluate()
         released = fleet.table.release(CRASHER)
         assert released is not None
         assert released.released
-        assert fleet.judge() == []
+        assert fleet.evaluate() == []
         for _ in range(3):
             fleet.end(CRASHER)
-        assert fleet.judge() == [CRASHER]
+        assert fleet.evaluate() == [CRASHER]
         again = fleet.table.verdict(CRASHER)
         assert again is not None
         assert again.number == 2
 
-    def test_of_one_that_is_not_held_changes_nothing(self):
+    def test_changes_nothing_for_a_request_that_is_not_in_quarantine(self):
         fleet = Fleet()
         fleet.end(CRASHER)
         assert fleet.table.release(CRASHER) is None
@@ -207,9 +213,9 @@
 
 
 class TestMerging:
-    """Tables say the same whatever came first, and however often."""
+    """Records can be merged in any order and any number of times."""
 
-    def news(self) -> list[ServerEnd | Verdict]:
+    def updates(self) -> list[ServerEnd | Verdict]:
         now_s = 100.0
         return [
             ServerEnd(life="a", ran=[CRASHER, OTHER], happened_s=now_s),
@@ -220,41 +226,41 @@
         ]
 
     @pytest.mark.parametrize("order", list(permutations(range(5)))[::7])
-    def test_commutes(self, order):
-        marks = set()
+    def test_is_commutative_and_idempotent(self, order):
+        checksums = set()
         for numbers in (order, range(5), [*order, *order]):
             table = SuspectTable(clock=Clock())
             for number in numbers:
-                one = self.news()[number]
+                one = self.updates()[number]
                 if isinstance(one, ServerEnd):
                     table.merge_end(one)
                 else:
                     table.merge_verdict(one)
             assert not table.is_quarantined(CRASHER)
-            marks.add(table.checksum())
-        assert len(marks) == 1
+            checksums.add(table.checksum())
+        assert len(checksums) == 1
 
 
 class TestBounds:
-    def test_the_oldest_end_goes_first(self):
+    def test_the_oldest_end_is_dropped_first(self):
         fleet = Fleet()
-        lives = [fleet.end(request(number)) for number in range(ENDS_KEPT + 3)]
+        lives = [fleet.end(request(number)) for number in range(MAX_ENDS + 3)]
         assert fleet.table.end(lives[2]) is None
         assert fleet.table.end(lives[3]) is not None
         assert not fleet.table.suspected_lives(request(0))
 
-    def test_one_end_has_so_many_requests_at_most(self):
+    def test_the_requests_of_one_end_are_bounded(self):
         fleet = Fleet()
         life = fleet.end(*(request(number) for number in range(MAX_REQUESTS_PER_END + 9)))
         end = fleet.table.end(life)
         assert end is not None
         assert len(end.ran) == MAX_REQUESTS_PER_END
 
-    def test_old_ends_are_forgotten_and_verdicts_stay(self):
+    def test_old_ends_expire_and_verdicts_stay(self):
         fleet = Fleet()
         for _ in range(3):
             fleet.end(CRASHER)
-        fleet.judge()
+        fleet.evaluate()
         fleet.clock.now_s += END_VALID_S + 1
         fleet.table.expire()
         assert fleet.table.ends() == []
@@ -262,30 +268,32 @@
 
 
 class TestManySeeds:
-    """Sixteen requests a server, a fifth of the ends by chance, who is broken off comes again once.
+    """Runs with 16 requests per server, in which a fifth of the ends are coincidental.
 
-    A crasher comes at any moment, twice each time, as its caller's entry sends it.
+    Most interrupted requests are repeated once. The crashing request is present at all other ends.
     """
 
     @pytest.mark.parametrize("seed", range(50))
-    def test_hold_the_crasher_and_nobody_else(self, seed):
+    def test_put_only_the_crashing_request_in_quarantine(self, seed):
         source = random.Random(seed)
         fleet = Fleet()
-        left: list[bytes] = []
+        interrupted: list[bytes] = []
         number = 0
         ends = 0
         while not fleet.table.is_quarantined(CRASHER):
-            again = [left.pop() for _ in range(min(len(left), source.randrange(9)))]
+            repeated = [
+                interrupted.pop() for _ in range(min(len(interrupted), source.randrange(9)))
+            ]
             number += 16
-            fresh = [request(number + place) for place in range(15 - len(again))]
-            by_chance = source.random() < 0.2
-            ends += not by_chance
-            fleet.end(*again, *fresh, *([] if by_chance else [CRASHER]), after_s=0.1)
-            left += [one for one in fresh if source.random() < 0.8]
-            for one in again:
+            fresh = [request(number + place) for place in range(15 - len(repeated))]
+            coincidental = source.random() < 0.2
+            ends += not coincidental
+            fleet.end(*repeated, *fresh, *([] if coincidental else [CRASHER]), after_s=0.1)
+            interrupted += [one for one in fresh if source.random() < 0.8]
+            for one in repeated:
                 if source.random() < 0.7:
                     fleet.table.clear(one)
-            fleet.judge()
+            fleet.evaluate()
             assert ends < 6
         held = [verdict for verdict in fleet.table.verdicts() if not verdict.released]
         assert [verdict.fingerprint for verdict in held] == [CRASHER]
