--- a/src/leadhollow/bench/request_path.py
+++ b/src/leadhollow/bench/request_path.py
@@ -34,7 +34,7 @@
 from leadhollow.http1.body import IncomingBody
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import RequestHead
-from leadhollow.membership.control_feed import FollowListener, RestsListener
+from leadhollow.membership.control_feed import BackoffListener, FullUpdateListener
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.membership.instances import Instance, InstanceState, ServedVersion
 from leadhollow.membership.packed_uses import pack_uses, unpack_uses
@@ -202,10 +202,10 @@
 
     source = ""
 
-    def on_followed(self, listener: FollowListener) -> None:
+    def on_full_update(self, listener: FullUpdateListener) -> None:
         return
 
-    def on_rests(self, listener: RestsListener) -> None:
+    def on_backoffs(self, listener: BackoffListener) -> None:
         return
 
 
--- a/src/leadhollow/control/engine_uses.py
+++ b/src/leadhollow/control/engine_uses.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable
 
 from leadhollow.decide.pressure import DecisionCounts
-from leadhollow.kernel import hearing
-from leadhollow.kernel.gathering_service import GatheringService
+from leadhollow.kernel import active_time
+from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.uses import (
     NO_USE,
     Use,
@@ -67,7 +67,7 @@
         before = {address: self.uses.get(address, NO_USE) for address in touched}
         for address in touched:
             use = told.get(address, NO_USE)
-            if use.nothing:
+            if use.is_empty:
                 self.uses.pop(address, None)
             else:
                 self.uses[address] = use
@@ -98,13 +98,13 @@
             requests=found.requests + after.requests - before.requests,
             unread_tokens=found.unread_tokens + after.unread_tokens - before.unread_tokens,
         )
-        if total.nothing:
+        if total.is_empty:
             self._uses.pop(address, None)
         else:
             self._uses[address] = total
 
 
-class EngineUses(GatheringService):
+class EngineUses(BatchingService):
     """Sums of what entries have at engines.
 
     Parameters
@@ -146,7 +146,7 @@
         self._relayed = 0  # engines whose sums were told last
         self._dirty: set[str] = set()
         self._listeners: list[Callable[[set[str], str], None]] = []
-        super().__init__(gather_s=RELAY_PAUSE_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=RELAY_PAUSE_S, refresh_s=REFRESH_S)
         handlers.on_oneway(UseReport, self._on_report)
         handlers.on_oneway(UseTotals, self._on_totals)
 
@@ -199,14 +199,14 @@
                     del tellers[name]
                     self._tell_here(self._drop(teller, sums), "")
 
-    def gather_s(self) -> float:
+    def batch_window_s(self) -> float:
         """Give how long changes are gathered, the longer the more were told last."""
         return max(RELAY_PAUSE_S, self._relayed * SUM_BYTES / RELAY_BYTES_PER_S)
 
-    async def _tell(self, *, whole: bool) -> None:
+    async def _publish(self, *, whole: bool) -> None:
         """Tell the other replicas the sums over the entries that report here."""
         if whole:
-            self.forget_silent(silence_s=hearing.heard_since_s)
+            self.forget_silent(silence_s=active_time.active_since_s)
         dirty, self._dirty = self._dirty, set()
         if whole:
             dirty = self._here.addresses()
--- a/src/leadhollow/control/entry_news.py
+++ b/src/leadhollow/control/entry_news.py
@@ -11,7 +11,7 @@
 from leadhollow.control.self_report_relay import SelfReportRelay
 from leadhollow.control.subscriber import Subscriber
 from leadhollow.control.suspect_relay import SuspectRelay
-from leadhollow.membership.suspect_news import Changed, encode_news, everything
+from leadhollow.membership.suspect_news import SuspectChanges, all_records, encode_news
 from leadhollow.membership.uses import Use, encode_decisions
 from leadhollow.wire.generated.ttypes import (
     FeedUpdate,
@@ -61,7 +61,7 @@
     def note_everything(self, entry: Subscriber) -> None:
         """Have an entry told all that is known."""
         entry.uses.add(self._uses.engines(), (), _now_s())
-        entry.suspects = everything(self._suspects.table)
+        entry.suspects = all_records(self._suspects.table)
         entry.limits = self._limits.everything()
         entry.rests = self._self_reports.resting()
 
@@ -100,7 +100,7 @@
         if not entry.suspects and mark == entry.suspects_mark:
             return None
         entry.suspects_mark = mark
-        return encode_news(self._suspects.table, entry.suspects.take(), now_s)
+        return encode_news(self._suspects.table, entry.suspects.pop_all(), now_s)
 
     def _news_of_limits(self, entry: Subscriber) -> LimitNews | None:
         """Give what is known of servers' limits, where that changed or shares are leased."""
@@ -128,9 +128,9 @@
         instance = self._registry.table.at_address(address)
         return "" if instance is None else instance.failure_domain
 
-    def _on_suspects(self, changed: Changed) -> None:
+    def _on_suspects(self, changed: SuspectChanges) -> None:
         for entry in self._entries():
-            entry.suspects.add(changed)
+            entry.suspects.merge(changed)
             entry.tell_at(_now_s())
 
     def _on_rests(self, lives: set[str], vm: str) -> None:
--- a/src/leadhollow/control/feed_server.py
+++ b/src/leadhollow/control/feed_server.py
@@ -148,7 +148,7 @@
 
     def _whole(self, subscriber: Subscriber) -> FeedUpdate:
         table = self._registry.table
-        known = [*table.instances(), *table.departed()]
+        known = [*table.instances(), *table.deregistered()]
         subscriber.instances = {found.instance: found for found in known}
         subscriber.loads = {load.record.address: load for load in self._registry.loads()}
         if subscriber.role is NodeRole.ENTRY:
@@ -167,7 +167,7 @@
         replicas = self._replicas_now(now_s)
         news = replicas if replicas != subscriber.sent_replicas else None
         subscriber.sent_replicas = replicas
-        instances = [found.record(now_s) for found in subscriber.instances.values()]
+        instances = [found.to_record(now_s) for found in subscriber.instances.values()]
         loads = [load.message(now_s) for load in subscriber.loads.values()]
         silent, subscriber.silent = sorted(subscriber.silent), set()
         subscriber.instances = {}
--- a/src/leadhollow/control/item_news.py
+++ b/src/leadhollow/control/item_news.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from leadhollow.membership.packed_items import FEWEST, pack_items
+from leadhollow.membership.packed_items import MIN_PACKED_ITEMS, pack_items
 from leadhollow.settings.node import NodeRole
 from leadhollow.state.catalog import Catalog, encode_item
 from leadhollow.state.records import CatalogItem
@@ -46,7 +46,7 @@
         if packed is not None:
             return [], packed
         newer = [found for found in self._catalog.items_after(revision) if self._wants(role, found)]
-        if not takes_packed or len(newer) < FEWEST:
+        if not takes_packed or len(newer) < MIN_PACKED_ITEMS:
             return [encode_item(item) for item in newer], None
         packed = self._packed[key] = pack_items(newer)
         if len(self._packed) > KEPT:
--- a/src/leadhollow/control/limit_relay.py
+++ b/src/leadhollow/control/limit_relay.py
@@ -13,11 +13,11 @@
 from leadhollow.decide.limit_table import LimitTable
 from leadhollow.decide.share_allocator import LEASE_S, LimitedServer, ShareAllocator
 from leadhollow.kernel import clocks
-from leadhollow.kernel.gathering_service import GatheringService
+from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.entry_count import EntryCount
 from leadhollow.membership.instances import Instance
 from leadhollow.membership.limit_news import (
-    MOST_REQUESTS,
+    MAX_REQUESTS,
     decode_limits,
     decode_request,
     encode_limits,
@@ -58,7 +58,7 @@
         ...
 
 
-class LimitRelay(GatheringService):
+class LimitRelay(BatchingService):
     """Limits as one control replica knows them.
 
     Parameters
@@ -121,7 +121,7 @@
         self._on_limits: Callable[[set[str]], None] = _ignore
         self._on_lease: Callable[[LimitLease], None] = _ignore
         self._on_behind: Callable[[str], None] = _ignore
-        super().__init__(gather_s=GATHER_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
         handlers.on_oneway(LimitNews, self._on_news)
         handlers.on_oneway(LimitLeases, self._on_leases)
 
@@ -137,7 +137,7 @@
         self._on_lease = on_lease
         self._on_behind = on_behind
 
-    def refreshes(self) -> bool:
+    def needs_refresh(self) -> bool:
         """Tell whether any limit is known."""
         return bool(self.table)
 
@@ -160,7 +160,7 @@
         if changed:
             self._changed |= changed
             self._on_limits(changed)
-        room = max(0, MOST_REQUESTS - len(self._requests))
+        room = max(0, MAX_REQUESTS - len(self._requests))
         self._requests += [(news.address or "", found) for found in (news.requests or ())[:room]]
         if changed or self._requests:
             self.note_change()
@@ -187,7 +187,7 @@
         for lease in leases.leases or ():
             self._on_lease(lease)
 
-    async def _tell(self, *, whole: bool) -> None:
+    async def _publish(self, *, whole: bool) -> None:
         """Tell the other replicas what is news, and serve or pass on requests for shares."""
         if whole:
             self._forget_old()
@@ -212,7 +212,7 @@
         if term != self._ledger_term:
             self._ledger = self._new_ledger()
             self._ledger_term = term
-        self._entry_count.take(self._entries())
+        self._entry_count.record(self._entries())
         servers = self._servers()
         by_replica: dict[str, list[LimitLease]] = {}
         for via, request in requests:
@@ -233,7 +233,7 @@
             self._peers.post(address, LimitLeases(term, leases))
 
     def _new_ledger(self) -> ShareAllocator:
-        return ShareAllocator(clock=clocks.elapsed_s, entries=self._entry_count.most)
+        return ShareAllocator(clock=clocks.elapsed_s, entries=self._entry_count.maximum)
 
     def _servers(self) -> list[LimitedServer]:
         found = []
--- a/src/leadhollow/control/registry.py
+++ b/src/leadhollow/control/registry.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 from leadhollow.control.replica_directory import ReplicaDirectory
-from leadhollow.kernel import hearing
-from leadhollow.kernel.gathering_service import GatheringService
+from leadhollow.kernel import active_time
+from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.membership.instances import Instance, InstanceState
 from leadhollow.membership.naming_times import NamingTimes
@@ -81,7 +81,7 @@
 SilenceListener = Callable[[list[str]], None]
 
 
-class Registry(GatheringService):
+class Registry(BatchingService):
     """Soft state of one control replica.
 
     Parameters
@@ -152,7 +152,7 @@
         self._naming_times = naming_times
         self.entries_here = 0
         self.table = InstanceTable(forget_after_s=forget_after_s, heartbeat_s=heartbeat_s)
-        super().__init__(gather_s=FLOOD_PAUSE_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=FLOOD_PAUSE_S, refresh_s=REFRESH_S)
         handlers.on_oneway(RegistryPush, self._on_push)
         handlers.on_oneway(LoadReport, self._on_load_report)
 
@@ -179,18 +179,18 @@
             )
             return
         self._heard_here_s[heard.instance] = heard.heard_s
-        if self.table.take(heard):
+        if self.table.merge(heard):
             self._changed_here(heard)
 
     def leave(self, instance: str, *, born_ms: int = 0) -> None:
         """Take the word of a backend server that it is gone; see :meth:`InstanceTable.leave`."""
-        gone = self.table.leave(instance, born_ms=born_ms)
+        gone = self.table.deregister(instance, born_ms=born_ms)
         if gone is not None:
             self._changed_here(gone)
 
     def take_leaving(self, life: str) -> None:
         """Take what a backend server said in an answer; it counts like an announcement here."""
-        left = self.table.note_leaving(life)
+        left = self.table.record_leaving(life)
         if left is not None:
             self._changed_here(left)
         known = self.table.of_life(life)
@@ -206,7 +206,7 @@
         elsewhere = [
             count
             for count, heard_s in self._entries_elsewhere.values()
-            if hearing.heard_since_s(heard_s) < ENTRIES_VALID_S
+            if active_time.active_since_s(heard_s) < ENTRIES_VALID_S
         ]
         return self.entries_here + sum(elsewhere)
 
@@ -214,7 +214,7 @@
         """Tell whether most backend servers had the time to be heard since we started."""
         return _now_s() - self._started_s > SETTLE_S
 
-    async def _tell(self, *, whole: bool) -> None:
+    async def _publish(self, *, whole: bool) -> None:
         """Tell the other replicas what changed here, or everything that was heard here."""
         if whole:
             self._forget()
@@ -224,14 +224,14 @@
         instances = list(dirty.values())
         if whole:
             instances += [found for found in self._own_instances() if found not in instances]
-            instances += [gone for gone in self.table.departed()[-32:] if gone not in instances]
+            instances += [gone for gone in self.table.deregistered()[-32:] if gone not in instances]
             dirty_loads = {address for address, load in self._loads.items() if load.own}
         loads = [
             self._loads[address].message(now_s) for address in dirty_loads if address in self._loads
         ]
         push = RegistryPush(
             self._own_address,
-            [found.record(now_s) for found in instances],
+            [found.to_record(now_s) for found in instances],
             loads,
             self.entries_here,
             whole,
@@ -247,7 +247,7 @@
         self._heard_here_s = {
             instance: heard_s
             for instance, heard_s in self._heard_here_s.items()
-            if hearing.heard_since_s(heard_s) < self._own_word_s
+            if active_time.active_since_s(heard_s) < self._own_word_s
         }
         found = [self.table.get(instance) for instance in self._heard_here_s]
         return [instance for instance in found if instance is not None]
@@ -256,14 +256,14 @@
         now_s = _now_s()
         self._directory.note(push.address, push.heard or ())
         self._entries_elsewhere[push.address] = (int(push.entries or 0), now_s)
-        self._naming_times.learn(push.named or ())
+        self._naming_times.merge(push.named or ())
         changed = []
         for record in push.instances or ():
             heard = Instance.from_record(record, now_s)
             if heard.state is InstanceState.GONE:
-                gone = self.table.leave(heard.instance, born_ms=heard.born_ms)
+                gone = self.table.deregister(heard.instance, born_ms=heard.born_ms)
                 changed += [] if gone is None else [gone]
-            elif self.table.take(heard):
+            elif self.table.merge(heard):
                 changed.append(heard)
         loads = [
             load
@@ -315,14 +315,15 @@
 
     def _forget(self) -> None:
         silent = [
-            found.instance for found in self.table.forget_silent(silence_s=hearing.heard_since_s)
+            found.instance
+            for found in self.table.forget_silent(silence_s=active_time.active_since_s)
         ]
         if silent:
             for listener in self._silence_listeners:
                 listener(silent)
         valid_s = load_valid_s(len(self._loads))
         for address, load in list(self._loads.items()):
-            if hearing.heard_since_s(load.heard_s) > valid_s:
+            if active_time.active_since_s(load.heard_s) > valid_s:
                 del self._loads[address]
 
 
--- a/src/leadhollow/control/replica_service.py
+++ b/src/leadhollow/control/replica_service.py
@@ -10,7 +10,7 @@
 
 from leadhollow.control.replica_directory import ReplicaDirectory
 from leadhollow.failure import Failure
-from leadhollow.kernel import clocks, hearing
+from leadhollow.kernel import active_time, clocks
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.node import NodeSettings
 from leadhollow.state.gateway import LeaderGateway
@@ -152,7 +152,7 @@
 
 def _heard_s() -> float:
     """Give the time in which we could hear, with suspensions: others are gone after a long one."""
-    return hearing.heard_s() + clocks.suspended_s()
+    return active_time.active_s() + clocks.suspended_s()
 
 
 __all__ = ["STATE_FOLDER", "ReplicaService"]
--- a/src/leadhollow/control/self_report_relay.py
+++ b/src/leadhollow/control/self_report_relay.py
@@ -11,7 +11,12 @@
 from typing import NamedTuple, Protocol
 
 from leadhollow.kernel import clocks
-from leadhollow.membership.server_words import MOST_WORDS, check_words, leaving_word, rest_word
+from leadhollow.membership.self_reports import (
+    MAX_REPORTS,
+    backoff_report,
+    check_reports,
+    leaving_report,
+)
 from leadhollow.observe.logs import get_logger
 from leadhollow.wire.connection import Connection
 from leadhollow.wire.generated.ttypes import ServerWord, ServerWords
@@ -106,13 +111,13 @@
         now_s = clocks.elapsed_s()
         found = [(life, self.rest(life)) for life in sorted(lives)]
         return [
-            rest_word(life, rest.end_s - now_s, told_by=rest.vm)
+            backoff_report(life, rest.end_s - now_s, told_by=rest.vm)
             for life, rest in found
             if rest is not None
         ]
 
     def _on_words(self, words: ServerWords, connection: Connection) -> None:
-        checked = check_words(words)
+        checked = check_reports(words)
         if checked.is_err():
             log.warning("self-reports not taken", failure=str(checked.unwrap_err()))
             return
@@ -132,7 +137,7 @@
 
     def _pass_on(self, leaving: set[str], resting: set[str]) -> None:
         """Tell the other replicas; what they tell us they have told each other."""
-        words = [leaving_word(life, told_by=self.leaving[life]) for life in sorted(leaving)]
+        words = [leaving_report(life, told_by=self.leaving[life]) for life in sorted(leaving)]
         news = ServerWords(self._own_address, words + self.news(resting))
         for address in self._replicas():
             if address != self._own_address:
@@ -144,7 +149,7 @@
         if life in self.leaving:
             return False
         self.leaving[life] = vm
-        while len(self.leaving) > MOST_WORDS:
+        while len(self.leaving) > MAX_REPORTS:
             self.leaving.popitem(last=False)
         return True
 
@@ -161,7 +166,7 @@
         return True
 
     def _has_room(self) -> bool:
-        return len(self._rests) < MOST_WORDS or len(self.resting()) < MOST_WORDS
+        return len(self._rests) < MAX_REPORTS or len(self.resting()) < MAX_REPORTS
 
 
 __all__ = ["Rest", "SelfReportRelay"]
--- a/src/leadhollow/control/server_standings.py
+++ b/src/leadhollow/control/server_standings.py
@@ -62,7 +62,7 @@
         rest = self._self_reports.rest(instance.life)
         limit_per_s = self._limits.limit(instance.life)
         return ServerStanding(
-            instance.record(clocks.steady_s()),
+            instance.to_record(clocks.steady_s()),
             leaving_ms,
             self._self_reports.leaving.get(instance.life, ""),
             0 if rest is None else round((rest.end_s - now_s) * 1000),
--- a/src/leadhollow/control/subscriber.py
+++ b/src/leadhollow/control/subscriber.py
@@ -8,7 +8,7 @@
 from leadhollow.control.registry import Load
 from leadhollow.control.use_news import UseNews
 from leadhollow.membership.instances import Instance
-from leadhollow.membership.suspect_news import Changed
+from leadhollow.membership.suspect_news import SuspectChanges
 from leadhollow.settings.node import NodeRole
 from leadhollow.state.records import CatalogItem
 from leadhollow.wire.generated.ttypes import LimitLease
@@ -68,7 +68,7 @@
         self.limits: set[str] = set()  # lives whose limit it is to be told
         self.rests: set[str] = set()  # lives whose rest it is to be told
         self.limit_lease: LimitLease | None = None
-        self.suspects = Changed()
+        self.suspects = SuspectChanges()
         self.suspects_mark = 0  # of the table that it was told last
         self.sent_replicas: list[str] = []
         self.sent_naming_times = 0
--- a/src/leadhollow/control/suspect_relay.py
+++ b/src/leadhollow/control/suspect_relay.py
@@ -20,9 +20,9 @@
 from leadhollow.decide.server_ends import Verdict
 from leadhollow.decide.suspects import SuspectTable
 from leadhollow.failure import Failure
-from leadhollow.kernel.gathering_service import GatheringService
-from leadhollow.kernel.hearing import HeardTimer
-from leadhollow.membership.suspect_news import Changed, encode_news, everything, take_news
+from leadhollow.kernel.active_time import ActiveTimer
+from leadhollow.kernel.batching_service import BatchingService
+from leadhollow.membership.suspect_news import SuspectChanges, all_records, encode_news, merge_news
 from leadhollow.observe.logs import get_logger
 from leadhollow.state.disk_thread import DiskThread
 from leadhollow.wire.connection import Connection
@@ -38,7 +38,7 @@
 log = get_logger("quarantine")
 
 
-class SuspectRelay(GatheringService):
+class SuspectRelay(BatchingService):
     """Table of suspects of one control replica.
 
     Parameters
@@ -82,12 +82,12 @@
         self._disk = DiskThread()
         self._saving: asyncio.Task[None] | None = None
         self._unsaved = False
-        self._changed = Changed()
+        self._changed = SuspectChanges()
         self._judging = False  # a judgement is to come
         self._whole_s: dict[str, float] = {}
-        self._listeners: list[Callable[[Changed], None]] = []
+        self._listeners: list[Callable[[SuspectChanges], None]] = []
         self.table = SuspectTable(clock=asyncio.get_running_loop().time)
-        super().__init__(gather_s=GATHER_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
         handlers.on_oneway(SuspectNews, self._on_news)
         handlers.on_call(SuspectQuery, self._on_query)
         handlers.on_call(SuspectRelease, self._on_release)
@@ -107,7 +107,7 @@
             await asyncio.wait([self._saving])
         await self._disk.end()
 
-    def on_change(self, listener: Callable[[Changed], None]) -> None:
+    def on_change(self, listener: Callable[[SuspectChanges], None]) -> None:
         """Call a function with what is news here."""
         self._listeners.append(listener)
 
@@ -116,7 +116,7 @@
         lives = self.table.suspected_lives(fingerprint)
         released = self.table.release(fingerprint)
         if released is not None:
-            changed = Changed()
+            changed = SuspectChanges()
             changed.lives = lives
             changed.fingerprints = {fingerprint}
             log.info(
@@ -131,7 +131,7 @@
     async def _on_query(
         self, query: SuspectQuery, connection: Connection
     ) -> Result[SuspectNews, Failure]:
-        return Ok(self._news(everything(self.table)))
+        return Ok(self._news(all_records(self.table)))
 
     async def _on_release(
         self, request: SuspectRelease, connection: Connection
@@ -142,7 +142,7 @@
         return Ok(Done())
 
     def _on_news(self, news: SuspectNews, connection: Connection) -> None:
-        taken = take_news(self.table, news, _now_s())
+        taken = merge_news(self.table, news, _now_s())
         if taken.is_err():
             log.warning("news of suspects not taken", failure=str(taken.unwrap_err()))
             return
@@ -159,7 +159,7 @@
         if not self._judging:
             self._judging = True
             wait_s = self.table.settle_time_left_s() + JUDGE_MARGIN_S
-            HeardTimer(delay_s=wait_s, callback=self._judge)
+            ActiveTimer(delay_s=wait_s, callback=self._judge)
 
     def _judge(self) -> None:
         self._judging = False
@@ -175,7 +175,7 @@
                 others=[self._others(life) for life in verdict.lives],
             )
         if made:
-            changed = Changed()
+            changed = SuspectChanges()
             changed.fingerprints = {verdict.fingerprint for verdict in made}
             self._note(changed)
 
@@ -184,9 +184,9 @@
         end = self.table.end(life)
         return 0 if end is None else len(end.ran) - 1
 
-    def _note(self, changed: Changed) -> None:
+    def _note(self, changed: SuspectChanges) -> None:
         """Have news told, and written down where they are verdicts."""
-        self._changed.add(changed)
+        self._changed.merge(changed)
         self.note_change()
         for listener in self._listeners:
             listener(changed)
@@ -207,20 +207,20 @@
         if now_s - self._whole_s.get(address, float("-inf")) < WHOLE_PAUSE_S:
             return
         self._whole_s[address] = now_s
-        self._peers.post(address, self._news(everything(self.table)))
+        self._peers.post(address, self._news(all_records(self.table)))
 
-    async def _tell(self, *, whole: bool) -> None:
+    async def _publish(self, *, whole: bool) -> None:
         """Tell the other replicas what is news, or which table this one has."""
         if whole:
             self.table.expire()
         if not self._changed and (not whole or self.table.empty):
             return
-        news = self._news(self._changed.take())
+        news = self._news(self._changed.pop_all())
         for address in self._replicas():
             if address != self._own_address:
                 self._peers.post(address, news)
 
-    def _news(self, changed: Changed) -> SuspectNews:
+    def _news(self, changed: SuspectChanges) -> SuspectNews:
         return encode_news(self.table, changed, _now_s(), address=self._own_address)
 
 
--- a/src/leadhollow/control/use_news.py
+++ b/src/leadhollow/control/use_news.py
@@ -10,7 +10,7 @@
 import math
 from collections.abc import Callable, Iterable
 
-from leadhollow.kernel.timers import TIMER_STEP_S
+from leadhollow.kernel.timers import TIMER_RESOLUTION_S
 from leadhollow.membership.packed_uses import pack_uses
 from leadhollow.membership.uses import Use
 
@@ -55,7 +55,7 @@
 
     def take(self, now_s: float) -> set[str]:
         """Give the engines whose turn has come."""
-        if now_s < self._free_s - TIMER_STEP_S:
+        if now_s < self._free_s - TIMER_RESOLUTION_S:
             return set()
         taken, self._pending = self._pending, set()
         self._free_s = now_s + len(taken) * USE_BYTES / self._bytes_per_s
--- a/src/leadhollow/control/version_ages.py
+++ b/src/leadhollow/control/version_ages.py
@@ -53,7 +53,7 @@
             return
         for item in items:
             if isinstance(item.value, NamedVersion) and item.value.named:
-                self.times.note(item.value.model, item.value.number)
+                self.times.record(item.value.model, item.value.number)
                 self._forget(item.value.model)
 
     def _forget(self, model: str) -> None:
--- a/src/leadhollow/decide/server.py
+++ b/src/leadhollow/decide/server.py
@@ -11,11 +11,11 @@
 from leadhollow.decide.server_backoff import ServerBackoff
 from leadhollow.decide.server_load import CountHistory, EngineReport, OwnCall
 from leadhollow.membership.instances import Instance, InstanceState, ServedVersion
-from leadhollow.membership.reporting import SHORTEST_INTERVAL_S, VALID_INTERVALS
+from leadhollow.membership.reporting import MIN_REPORT_INTERVAL_S, VALID_INTERVALS
 from leadhollow.membership.uses import NO_USE, Use
 from leadhollow.wire.generated.ttypes import LoadRecord
 
-REPORT_VALID_S = VALID_INTERVALS * SHORTEST_INTERVAL_S  # in a domain of few engines
+REPORT_VALID_S = VALID_INTERVALS * MIN_REPORT_INTERVAL_S  # in a domain of few engines
 LATENESS_WEIGHT = 0.25  # of the newest first event in the moving average
 LATENESS_HALF_LIFE_S = 2.0
 USUAL_PATH_MS = 60  # between failure domains, behind some pieces of weights
--- a/src/leadhollow/entry/router.py
+++ b/src/leadhollow/entry/router.py
@@ -98,7 +98,7 @@
         self._paused_until_s: dict[str, float] = {}
         self._full_times: dict[str, int] = {}
         view.on_load(self._note_report)
-        view.tell_loads()
+        view.report_loads()
         self._ejections: dict[str, _Ejection] = {}
 
     def choose(self, wish: Wish, *, excluded: Iterable[str], now_s: float) -> Choice | None:
@@ -177,7 +177,7 @@
         own = self._view.serving(name) if kind == ENGINE_KIND else self._view.service(name)
         elsewhere = [
             candidate
-            for line in self._view.elsewhere(kind, name)
+            for line in self._view.remote_lines(kind, name)
             for candidate in line.candidates or ()
         ]
         return [(own, "own domain"), (elsewhere, "other domain")]
--- a/src/leadhollow/entry/scheduler.py
+++ b/src/leadhollow/entry/scheduler.py
@@ -12,7 +12,7 @@
 from leadhollow.entry.router import Choice
 from leadhollow.entry.share import GroupShareLimits
 from leadhollow.failure import Failure
-from leadhollow.kernel.hearing import deadline_at
+from leadhollow.kernel.active_time import deadline_at
 from leadhollow.settings.model import QueueOrder
 
 
--- a/src/leadhollow/forward/board.py
+++ b/src/leadhollow/forward/board.py
@@ -126,7 +126,7 @@
 
     def note_leaving(self, server: Server) -> None:
         """Note that a backend server said in an answer that it leaves."""
-        self._table.note_leaving(server.instance.life)
+        self._table.record_leaving(server.instance.life)
 
     def of_life(self, life: str) -> Server | None:
         """Find a backend server in a certain life."""
@@ -136,7 +136,7 @@
     def wrong_instance(self, instance: str) -> None:
         """Note that another incarnation runs at the address of this one."""
         log.warning("another backend server has the address", instance=instance)
-        self._table.leave(instance)
+        self._table.deregister(instance)
 
     def changed(self) -> None:
         """Tell those who wait for a place."""
--- a/src/leadhollow/forward/call.py
+++ b/src/leadhollow/forward/call.py
@@ -6,7 +6,7 @@
 from leadhollow.forward.request_body import RequestBody
 from leadhollow.http1.messages import RequestHead
 from leadhollow.http1.reply import ReplyWriter
-from leadhollow.kernel import clocks, hearing
+from leadhollow.kernel import active_time, clocks
 from leadhollow.routing.model import Organisation, Route
 
 
@@ -83,7 +83,7 @@
         self.sends = 0
         self.engine = ""
         self.last_heard_at_s = received_s
-        self.held_before_s = hearing.clock().held_s()
+        self.held_before_s = active_time.clock().stalled_s()
 
     @property
     def request_id(self) -> str:
@@ -118,7 +118,7 @@
 
     def held_s(self) -> float:
         """Give the time for which this process was held up since the request came."""
-        return hearing.clock().held_s() - self.held_before_s
+        return active_time.clock().stalled_s() - self.held_before_s
 
     def left_ms(self) -> float:
         """Give what is left of the caller's time, which went on while this machine did not."""
--- a/src/leadhollow/forward/event_source.py
+++ b/src/leadhollow/forward/event_source.py
@@ -8,7 +8,7 @@
 from leadhollow.failure import Failure
 from leadhollow.forward.events import LARGEST_EVENT_BYTES, Event, EventSplitter
 from leadhollow.forward.exchange import Exchange
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 
 
 class EventSource:
@@ -31,8 +31,8 @@
         self.exchange = exchange
         self._splitter = EventSplitter()
         self._kept: list[Event] | None = None
-        self._clock = hearing.clock()
-        self.heard_s = self._clock.heard_s()
+        self._clock = active_time.clock()
+        self.heard_s = self._clock.active_s()
 
     async def read(self) -> Result[list[Event], Failure]:
         """Give the next events, none at the end of the answer.
@@ -54,7 +54,7 @@
             data = read.unwrap()
             if not data:
                 return self._ended()
-            self.heard_s = self._clock.heard_s()
+            self.heard_s = self._clock.active_s()
             events = self._splitter.feed(data)
             if events:
                 return Ok(events)
--- a/src/leadhollow/forward/exchange.py
+++ b/src/leadhollow/forward/exchange.py
@@ -19,7 +19,7 @@
 from leadhollow.forward.request_body import RequestBody
 from leadhollow.http1.client_connection import Answer, ClientConnection
 from leadhollow.http1.messages import Framing, RequestHead
-from leadhollow.kernel import clocks, hearing
+from leadhollow.kernel import active_time, clocks
 from leadhollow.observe.logs import get_logger
 
 MOST_STRAY_ANSWERS = 4
@@ -186,7 +186,7 @@
             failure = Failure(code=withheld, detail=server.instance.instance)
             return Err(AttemptFailure(end=AttemptEnd.WITHHELD, failure=failure))
         limited_sent_s = None if server.send_limiter is None else clocks.elapsed_s()
-        sent_s = hearing.heard_s()
+        sent_s = active_time.active_s()
         exchange: Exchange | None = None
         sender: asyncio.Task[Result[None, Failure]] | None = None
         try:
@@ -224,7 +224,7 @@
 
     def _note_silence(self, address: str, connection: ClientConnection, sent_s: float) -> None:
         """Close the idle connections to a server that was silent on one of them."""
-        silent_s = hearing.heard_s() - sent_s
+        silent_s = active_time.active_s() - sent_s
         if connection.exchanges > 1 and connection.usable and silent_s > SILENT_S:
             log.info("idle connections closed", address=address, silent_s=round(silent_s, 2))
             self._pool.drop(address)
--- a/src/leadhollow/forward/limit_keeper.py
+++ b/src/leadhollow/forward/limit_keeper.py
@@ -19,7 +19,7 @@
 from leadhollow.forward.board import ServerBoard
 from leadhollow.forward.dialect import AnswerFacts
 from leadhollow.kernel import clocks
-from leadhollow.kernel.gathering_service import GatheringService
+from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.control_feed import ControlFeed
 from leadhollow.membership.limit_news import decode_limits, encode_limits, encode_request
 from leadhollow.observe.logs import get_logger
@@ -44,7 +44,7 @@
         ...
 
 
-class LimitKeeper(GatheringService):
+class LimitKeeper(BatchingService):
     """Limits as one entry knows them.
 
     Parameters
@@ -107,9 +107,9 @@
         board.on_found(self._on_found)
         feed.on_limits(self._on_news)
         feed.on_limit_lease(self._on_lease)
-        super().__init__(gather_s=GATHER_S, refresh_s=ASK_S)
+        super().__init__(batch_window_s=GATHER_S, refresh_s=ASK_S)
 
-    def refreshes(self) -> bool:
+    def needs_refresh(self) -> bool:
         """Tell whether any limit is in force."""
         return bool(self.table.limits())
 
@@ -220,7 +220,7 @@
             withheld=0 if before is None else before.withheld,
         )
 
-    async def _tell(self, *, whole: bool) -> None:
+    async def _publish(self, *, whole: bool) -> None:
         """Tell the replica that is followed what is news, and ask it for shares."""
         source = self._feed.source
         if not source:
--- a/src/leadhollow/forward/places.py
+++ b/src/leadhollow/forward/places.py
@@ -10,7 +10,7 @@
 from leadhollow.decide.engine_queue import EngineQueue, Waiter
 from leadhollow.decide.engine_request import EngineRequest, Placement
 from leadhollow.failure import Failure
-from leadhollow.kernel.hearing import deadline_at
+from leadhollow.kernel.active_time import deadline_at
 
 
 async def place(queue: EngineQueue, wish: EngineRequest) -> Result[Placement, Failure]:
--- a/src/leadhollow/forward/plain_call.py
+++ b/src/leadhollow/forward/plain_call.py
@@ -23,7 +23,7 @@
 from leadhollow.forward.plain_answer import WholeAnswer, first_good, take_whole
 from leadhollow.forward.suspect_exchange import SuspectExchange
 from leadhollow.http1.messages import Framing
-from leadhollow.kernel.hearing import deadline_at, heard_since_s, heard_wait
+from leadhollow.kernel.active_time import active_since_s, active_wait, deadline_at
 from leadhollow.observe.logs import get_logger, log_decision
 
 HEDGE_SHARE = 0.6  # of the objective; then another server may answer a repeatable request sooner
@@ -179,8 +179,8 @@
         first = loop.create_task(self._attempt(call, server))
         tasks = {first}
         try:
-            left_s = HEDGE_SHARE * call.route.objective_ms / 1000 - heard_since_s(call.received_s)
-            if self._may_hedge(call) and not await heard_wait(tasks, max(0.0, left_s)):
+            left_s = HEDGE_SHARE * call.route.objective_ms / 1000 - active_since_s(call.received_s)
+            if self._may_hedge(call) and not await active_wait(tasks, max(0.0, left_s)):
                 second = self._choose(call, excluded)
                 if second is not None and self._budget.try_acquire(call.service):
                     excluded.add(second.instance.instance)
--- a/src/leadhollow/forward/quarantine.py
+++ b/src/leadhollow/forward/quarantine.py
@@ -10,7 +10,7 @@
 from leadhollow.decide.suspects import SuspectTable
 from leadhollow.forward.call import ForwardedCall
 from leadhollow.forward.fingerprint import shown
-from leadhollow.kernel.hearing import heard_sleep
+from leadhollow.kernel.active_time import active_sleep
 from leadhollow.observe.logs import get_logger
 
 VERDICT_S = 0.13
@@ -49,7 +49,7 @@
             call.sends
             and len(self.table.suspected_lives(call.fingerprint)) + 1 >= ENDS_TO_QUARANTINE
         ):
-            await heard_sleep(VERDICT_S)
+            await active_sleep(VERDICT_S)
 
     @contextmanager
     def running(self, call: ForwardedCall, limit: asyncio.Timeout) -> Iterator[None]:
--- a/src/leadhollow/forward/second_engine.py
+++ b/src/leadhollow/forward/second_engine.py
@@ -9,8 +9,8 @@
 from leadhollow.forward.silence import SilenceWatch
 from leadhollow.forward.stream_attempt import StreamAttempt
 from leadhollow.forward.stream_relay import StreamRelay
-from leadhollow.kernel import hearing
-from leadhollow.kernel.hearing import INPUT_S, deadline_at
+from leadhollow.kernel import active_time
+from leadhollow.kernel.active_time import INPUT_GRACE_S, deadline_at
 from leadhollow.observe.logs import get_logger
 
 log = get_logger("stream")
@@ -92,16 +92,16 @@
 
     async def _run(self, request: str) -> StreamAttempt | None:
         passed = self._relay.passed
-        clock = hearing.clock()
+        clock = active_time.clock()
         while True:
-            held_before_s = clock.held_s()
+            held_before_s = clock.stalled_s()
             attempt = await self._place()
             if attempt is None:
                 return None
             chosen = False
             try:
-                if clock.held_s() > held_before_s:
-                    await asyncio.sleep(INPUT_S)  # the first one may have gone on meanwhile
+                if clock.stalled_s() > held_before_s:
+                    await asyncio.sleep(INPUT_GRACE_S)  # the first one may have gone on meanwhile
                 found = await self._first_events(attempt)
                 if self._relay.passed != passed:
                     return None  # the first one went on
--- a/src/leadhollow/forward/self_reports.py
+++ b/src/leadhollow/forward/self_reports.py
@@ -19,9 +19,9 @@
 from leadhollow.forward.board import ServerBoard
 from leadhollow.forward.dialect import AnswerFacts
 from leadhollow.kernel import clocks
-from leadhollow.kernel.gathering_service import GatheringService
-from leadhollow.membership.control_feed import FollowListener, RestsListener
-from leadhollow.membership.server_words import leaving_word, rest_word
+from leadhollow.kernel.batching_service import BatchingService
+from leadhollow.membership.control_feed import BackoffListener, FullUpdateListener
+from leadhollow.membership.self_reports import backoff_report, leaving_report
 from leadhollow.observe.logs import get_logger
 from leadhollow.wire.generated.ttypes import ServerWord, ServerWords
 from leadhollow.wire.peers import PeerPool
@@ -42,16 +42,16 @@
         """Address of the replica that is followed, empty while there is none."""
         ...
 
-    def on_followed(self, listener: FollowListener) -> None:
+    def on_full_update(self, listener: FullUpdateListener) -> None:
         """Call a function each time that a replica has told everything."""
         ...
 
-    def on_rests(self, listener: RestsListener) -> None:
+    def on_backoffs(self, listener: BackoffListener) -> None:
         """Call a function with rests that backend servers asked of other entries."""
         ...
 
 
-class SelfReports(GatheringService):
+class SelfReports(BatchingService):
     """Takes what the answers of backend servers say of these."""
 
     __slots__ = (
@@ -72,11 +72,11 @@
         self._leaving: set[str] = set()  # lives that said so here
         self._rests: dict[str, float] = {}  # ends by life, of those that nobody was told of yet
         self._logged_s: OrderedDict[tuple[str, str], float] = OrderedDict()
-        super().__init__(gather_s=GATHER_S, refresh_s=REFRESH_S)
-        feed.on_followed(self._on_followed)
-        feed.on_rests(self._on_rests)
+        super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
+        feed.on_full_update(self._on_followed)
+        feed.on_backoffs(self._on_rests)
 
-    def refreshes(self) -> bool:
+    def needs_refresh(self) -> bool:
         """Tell whether any server that is known said that it leaves."""
         return bool(self._leaving)
 
@@ -146,7 +146,7 @@
         if self._leaving:
             self.note_change()
 
-    async def _tell(self, *, whole: bool) -> None:
+    async def _publish(self, *, whole: bool) -> None:
         self._leaving = {life for life in self._leaving if self._board.of_life(life) is not None}
         source = self._feed.source
         if not (self._leaving or self._rests) or not source:
@@ -161,8 +161,10 @@
         """Give what is to be told; each rest once."""
         rests, self._rests = self._rests, {}
         now_s = clocks.elapsed_s()
-        words = [leaving_word(life) for life in sorted(self._leaving)]
-        words += [rest_word(life, end_s - now_s) for life, end_s in rests.items() if end_s > now_s]
+        words = [leaving_report(life) for life in sorted(self._leaving)]
+        words += [
+            backoff_report(life, end_s - now_s) for life, end_s in rests.items() if end_s > now_s
+        ]
         return words
 
     def _log_once(self, server: Server, message: str, **fields: object) -> None:
--- a/src/leadhollow/forward/silence.py
+++ b/src/leadhollow/forward/silence.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from leadhollow.kernel import hearing
-from leadhollow.kernel.hearing import HeardTimer
+from leadhollow.kernel import active_time
+from leadhollow.kernel.active_time import ActiveTimer
 
 
 class SilenceWatch:
@@ -37,23 +37,23 @@
         self._patience_s = patience_s
         self._on_silent = on_silent
         self._from_s = heard_s()
-        self._timer = HeardTimer(delay_s=patience_s(), callback=self._look)
+        self._timer = ActiveTimer(delay_s=patience_s(), callback=self._look)
 
     def stop(self) -> None:
         """Watch no more."""
         self._timer.cancel()
 
     def _look(self) -> None:
-        now_s = hearing.heard_s()
+        now_s = active_time.active_s()
         since_s = max(self._heard_s(), self._from_s)
         left_s = self._patience_s() - (now_s - since_s)
         if left_s <= 0:
             self._from_s = now_s
             left_s = self._patience_s()
-            self._timer = HeardTimer(delay_s=left_s, callback=self._look)
+            self._timer = ActiveTimer(delay_s=left_s, callback=self._look)
             self._on_silent()
             return
-        self._timer = HeardTimer(delay_s=left_s, callback=self._look)
+        self._timer = ActiveTimer(delay_s=left_s, callback=self._look)
 
 
 __all__ = ["SilenceWatch"]
--- a/src/leadhollow/forward/stream_attempt.py
+++ b/src/leadhollow/forward/stream_attempt.py
@@ -20,7 +20,7 @@
 from leadhollow.forward.pool import CONNECT_TIMEOUT_S
 from leadhollow.forward.suspect_exchange import SuspectExchange
 from leadhollow.http1.messages import Framing
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.observe.logs import get_logger
 
 NEAR_BOUND_S = 3.0  # before weights become too old, a request must not be held up on its way
@@ -114,7 +114,7 @@
         self._tried = tried
         self._judged = False  # whether anything was learnt of the engine's health
         self._noted = False
-        self.asked_s = hearing.heard_s()
+        self.asked_s = active_time.active_s()
         self.placement = placement
         self.source: EventSource | None = None
         self.failed_answer: Exchange | None = None
@@ -139,7 +139,7 @@
         """
         call, placement = self._call, self.placement
         call.note_asked(self.instance)
-        self.asked_s = hearing.heard_s()
+        self.asked_s = active_time.active_s()
         dispatch = call.dispatch(
             instance=self.instance,
             version=placement.expected_version,
@@ -231,7 +231,7 @@
         server, now_s = self.placement.server, asyncio.get_running_loop().time()
         server.record_interruption(now_s)
         if self.placement.call.in_prefill:
-            late_ms = hearing.heard_since_s(self.placement.call.placed_s) * 1000
+            late_ms = active_time.active_since_s(self.placement.call.placed_s) * 1000
             late_ms -= self.placement.call.predicted_ms
             server.record_lateness(max(0.0, late_ms), now_s)
 
--- a/src/leadhollow/forward/stream_call.py
+++ b/src/leadhollow/forward/stream_call.py
@@ -20,7 +20,7 @@
 from leadhollow.forward.stream_attempt import StreamAttempt, StreamParts, TriedEngines
 from leadhollow.forward.stream_relay import StreamRelay
 from leadhollow.forward.stream_wish import stream_wish
-from leadhollow.kernel.hearing import DeadlineTimer, deadline_at
+from leadhollow.kernel.active_time import DeadlineTimer, deadline_at
 from leadhollow.observe.logs import get_logger
 from leadhollow.routing.model import ServiceRecord
 
--- a/src/leadhollow/forward/stream_relay.py
+++ b/src/leadhollow/forward/stream_relay.py
@@ -17,7 +17,7 @@
 from leadhollow.forward.fingerprint import shown
 from leadhollow.forward.passing import passed_fields
 from leadhollow.http1.messages import Framing
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.observe.logs import get_logger
 
 log = get_logger("stream")
@@ -63,7 +63,7 @@
 
     def __init__(self, *, call: ForwardedCall) -> None:
         self._call = call
-        self._clock = hearing.clock()
+        self._clock = active_time.clock()
         self._first_event_s = 0.0
         self._longest_pause_s = 0.0
         self.begun = False
@@ -114,7 +114,7 @@
             self.writing = True
             await call.reply.write(b"".join(event.data for event in events))
             self.writing = False
-            self.taken_s = self._clock.heard_s()
+            self.taken_s = self._clock.active_s()
 
     def _note_pause(self) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -155,7 +155,7 @@
     def _note_first_event(self, placement: Placement) -> None:
         now_s = asyncio.get_running_loop().time()
         self._first_event_s = self._first_event_s or now_s
-        took_ms = self._clock.heard_since_s(placement.call.placed_s) * 1000
+        took_ms = self._clock.active_since_s(placement.call.placed_s) * 1000
         placement.server.record_lateness(took_ms - placement.call.predicted_ms, now_s)
         log.info(
             "first event",
--- a/src/leadhollow/forward/suspect_exchange.py
+++ b/src/leadhollow/forward/suspect_exchange.py
@@ -14,10 +14,10 @@
 from leadhollow.forward.good_ends import GoodEnds
 from leadhollow.forward.pool import ConnectionPool
 from leadhollow.forward.quarantine import Quarantine
-from leadhollow.kernel.gathering_service import GatheringService
-from leadhollow.kernel.hearing import HeardTimer
+from leadhollow.kernel.active_time import ActiveTimer
+from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.control_feed import ControlFeed
-from leadhollow.membership.suspect_news import Changed, encode_news, everything, take_news
+from leadhollow.membership.suspect_news import SuspectChanges, all_records, encode_news, merge_news
 from leadhollow.observe.logs import get_logger
 from leadhollow.state.records import CatalogItem
 from leadhollow.weights.named import NamedVersion
@@ -37,7 +37,7 @@
 log = get_logger("quarantine")
 
 
-class SuspectExchange(GatheringService):
+class SuspectExchange(BatchingService):
     """Keeps this entry's table like those of all others."""
 
     __slots__ = (
@@ -62,13 +62,13 @@
         self._peers = peers
         self._good = GoodEnds()
         self.watch = EndWatch(board=board, pool=pool, good=self._good, on_end=self._on_end)
-        self._changed = Changed()
+        self._changed = SuspectChanges()
         self._told = ""  # replica that was told everything
         self._mark = 0  # of the replica's table, as it last said
         self._whole_s = 0.0
         feed.on_suspects(self._on_news)
         feed.catalog.on_change(self._on_catalog)
-        super().__init__(gather_s=GATHER_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
 
     async def stop(self) -> None:
         """Look for no ends any more."""
@@ -100,7 +100,7 @@
         if self.table.merge_end(end):
             self._changed.lives.add(end.life)
             self.note_change()
-            HeardTimer(delay_s=ALONE_SETTLE_S, callback=self._judge_alone)
+            ActiveTimer(delay_s=ALONE_SETTLE_S, callback=self._judge_alone)
 
     def _judge_alone(self) -> None:
         if self._feed.source:
@@ -115,7 +115,7 @@
             self._told = ""  # the replica may have begun anew: it is told everything
             self.note_change()
         self._mark = int(news.mark or 0)
-        taken = take_news(self.table, news, now_s)
+        taken = merge_news(self.table, news, now_s)
         if taken.is_err():
             log.warning("news of suspects not taken", failure=str(taken.unwrap_err()))
             return
@@ -131,7 +131,7 @@
         if any(isinstance(item.value, NamedVersion) and item.value.named for item in items):
             self._good.forget()
 
-    async def _tell(self, *, whole: bool) -> None:
+    async def _publish(self, *, whole: bool) -> None:
         """Tell the replica that is followed what is news, or all where it does not know it."""
         self.table.expire()
         source = self._feed.source
@@ -141,7 +141,7 @@
         now_s = asyncio.get_running_loop().time()
         unlike = whole and self._mark != self.table.checksum()
         if source != self._told or (unlike and now_s - self._whole_s > WHOLE_PAUSE_S):
-            self._changed.add(everything(self.table))
+            self._changed.merge(all_records(self.table))
             self._whole_s = now_s
         if not self._changed:
             self._told = source
@@ -150,7 +150,7 @@
         if connected.is_err():
             self._told = ""
             return
-        connected.unwrap().oneway(encode_news(self.table, self._changed.take(), now_s))
+        connected.unwrap().oneway(encode_news(self.table, self._changed.pop_all(), now_s))
         self._told = source
 
 
--- a/src/leadhollow/forward/use_reporter.py
+++ b/src/leadhollow/forward/use_reporter.py
@@ -7,7 +7,7 @@
 
 from leadhollow.decide.pressure import DecisionCounts
 from leadhollow.forward.board import ServerBoard
-from leadhollow.kernel.gathering_service import GatheringService
+from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.control_feed import ControlFeed
 from leadhollow.membership.uses import encode_decisions, encode_uses
 from leadhollow.wire.generated.ttypes import ServiceDecisions, UseReport
@@ -22,7 +22,7 @@
 which a refusal comes to count half."""
 
 
-class UseReporter(GatheringService):
+class UseReporter(BatchingService):
     """Reports changes at once, and everything now and then.
 
     Parameters
@@ -49,13 +49,13 @@
         self._dirty: set[str] = set()
         self._told = ""  # replica that knows everything
         board.on_use(self._note)
-        super().__init__(gather_s=GATHER_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
 
     def _note(self, address: str) -> None:
         self._dirty.add(address)
         self.note_change()
 
-    async def _tell(self, *, whole: bool) -> None:
+    async def _publish(self, *, whole: bool) -> None:
         source = self._feed.source
         told = await self._report(source, whole=whole or source != self._told)
         self._told = source if told else ""
@@ -69,7 +69,7 @@
             return False
         uses = {address: self._board.use(address) for address in sorted(dirty)}
         if whole:
-            uses = {address: use for address, use in self._board.uses().items() if not use.nothing}
+            uses = {address: use for address, use in self._board.uses().items() if not use.is_empty}
         engines, records = encode_uses(uses)
         connected.unwrap().oneway(UseReport(engines, records, whole, self._news()))
         return True
--- a/src/leadhollow/http1/client_connection.py
+++ b/src/leadhollow/http1/client_connection.py
@@ -24,7 +24,7 @@
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import Framing, ResponseHead, response_framing
 from leadhollow.kernel import clocks
-from leadhollow.kernel.hearing import heard_timeout
+from leadhollow.kernel.active_time import active_timeout
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.address import Address
 
@@ -302,7 +302,7 @@
     """
     loop = asyncio.get_running_loop()
     try:
-        async with heard_timeout(timeout_s):
+        async with active_timeout(timeout_s):
             _, connection = await loop.create_connection(
                 ClientConnection, address.host, address.port
             )
--- a/src/leadhollow/http1/fetch.py
+++ b/src/leadhollow/http1/fetch.py
@@ -11,7 +11,7 @@
 from leadhollow.http1.messages import RequestHead, ResponseHead
 from leadhollow.http1.peer_rests import PeerRests
 from leadhollow.kernel import clocks
-from leadhollow.kernel.hearing import heard_timeout
+from leadhollow.kernel.active_time import active_timeout
 from leadhollow.settings.address import Address
 
 LARGEST_ANSWER_BYTES = 16 * 1024 * 1024
@@ -78,7 +78,7 @@
             detail = f"{address} wants rest for {left_s:.1f} s more"
             return Err(Failure(code=Code.SERVER_RESTS, detail=detail))
         try:
-            async with heard_timeout(timeout_s):
+            async with active_timeout(timeout_s):
                 return await self._exchange(method, address, target, body, content_type)
         except TimeoutError:
             return Err(Failure(code=Code.PEER_TIMEOUT, detail=f"{address}{target}"))
--- a/src/leadhollow/http1/server_connection.py
+++ b/src/leadhollow/http1/server_connection.py
@@ -16,8 +16,8 @@
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import RequestHead
 from leadhollow.http1.reply import ReplyWriter
-from leadhollow.kernel import hearing
-from leadhollow.kernel.hearing import HeardTimer, HearingClock, heard_timeout
+from leadhollow.kernel import active_time
+from leadhollow.kernel.active_time import ActiveClock, ActiveTimer, active_timeout
 from leadhollow.observe.logs import get_logger
 
 LINGER_S = 1.0  # time a caller gets to read an early answer before its unread bytes reset it
@@ -139,10 +139,10 @@
         self._headers = Headers()
         self._head_bytes = 0
         self._in_head = False
-        self._header_timer: HeardTimer | None = None
-        self._clock: HearingClock = hearing.clock()
+        self._header_timer: ActiveTimer | None = None
+        self._clock: ActiveClock = active_time.clock()
         self._idle_since_s: float | None = None  # while no request is read or answered
-        self._idle_timer: HeardTimer | None = None
+        self._idle_timer: ActiveTimer | None = None
         self._idled = False
         self._wake = asyncio.Event()
         self._drained = asyncio.Event()
@@ -175,7 +175,7 @@
         if self._in_head and self._head_bytes > self._limits().header_bytes:
             self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         if self._in_head and self._header_timer is None:
-            self._header_timer = HeardTimer(
+            self._header_timer = ActiveTimer(
                 delay_s=self._limits().header_timeout_ms / 1000, callback=self._on_slow_head
             )
 
@@ -302,7 +302,7 @@
                 return False
             self._idled = False
             self._wake.clear()
-            self._idle_since_s = self._clock.heard_s()
+            self._idle_since_s = self._clock.active_s()
             await self._wake.wait()
             self._idle_since_s = None
         self._idled = False
@@ -313,13 +313,13 @@
 
     def _watch_idle(self, delay_s: float) -> None:
         """Look later whether the connection is idle: requests set no timer of their own."""
-        self._idle_timer = HeardTimer(delay_s=delay_s, callback=self._look_idle)
+        self._idle_timer = ActiveTimer(delay_s=delay_s, callback=self._look_idle)
 
     def _look_idle(self) -> None:
         if self._idle_since_s is None or self._in_head:
             self._watch_idle(self._idle_s())
             return
-        left_s = self._idle_s() - (self._clock.heard_s() - self._idle_since_s)
+        left_s = self._idle_s() - (self._clock.active_s() - self._idle_since_s)
         if left_s <= 0:
             self._idled = True
             self._wake.set()
@@ -361,7 +361,7 @@
         if request.body.ended:
             return
         try:
-            async with heard_timeout(LINGER_S):
+            async with active_timeout(LINGER_S):
                 await self._skip_body(request)
         except TimeoutError:
             return
--- a/src/leadhollow/kernel/hearing.py
+++ b/src/leadhollow/kernel/active_time.py
@@ -22,30 +22,30 @@
 from leadhollow.observe.logs import get_logger
 
 TICK_S = 0.1
-LONGEST_STEP_S = 0.2
+MAX_STEP_S = 0.2
 """Most that the clock goes on between two rounds of the loop. What is beyond it counts as held up;
 within it everything that arrived is read in time anyway."""
 
 LATE_S = 0.02  # by which a timer comes later where something may have arrived that is not read yet
-HELD_UP_S = LONGEST_STEP_S - TICK_S  # by which a deadline comes later where the loop was held up
-INPUT_S = 0.05  # until what arrived while the loop was held up has been read and passed on
+HELD_UP_S = MAX_STEP_S - TICK_S  # by which a deadline comes later where the loop was held up
+INPUT_GRACE_S = 0.05  # until what arrived while the loop was held up has been read and passed on
 SHOWN_HOLD_S = 0.5  # shorter holds are counted without a line of their own
 HOLDS_KEPT = 256  # a process that is held up all the time remembers a minute of it
-HOLD_BOUNDS_S = (0.2, 0.5, 1.0, 2.0, 5.0)  # of the classes in which holds are counted
+STALL_BOUNDS_S = (0.2, 0.5, 1.0, 2.0, 5.0)  # of the classes in which holds are counted
 
 log = get_logger("loop")
 
 
-class HearingClock:
+class ActiveClock:
     """The clock of one event loop.
 
     Attributes
     ----------
     holds
-        How often it was, by the bounds of ``HOLD_BOUNDS_S``; the last one is beyond all of them.
+        How often it was, by the bounds of ``STALL_BOUNDS_S``; the last one is beyond all of them.
     """
 
-    __slots__ = ("_heard_s", "_held", "_held_s", "_ticked_s", "holds")
+    __slots__ = ("_heard_s", "_held", "_held_s", "_ticked_s", "stall_counts")
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
@@ -53,21 +53,21 @@
         self._heard_s = self._ticked_s
         self._held_s = 0.0
         self._held: deque[tuple[float, float]] = deque(maxlen=HOLDS_KEPT)  # from when, until when
-        self.holds = [0] * (len(HOLD_BOUNDS_S) + 1)
+        self.stall_counts = [0] * (len(STALL_BOUNDS_S) + 1)
         loop.call_later(TICK_S, self._tick)
 
-    def heard_s(self) -> float:
+    def active_s(self) -> float:
         """Give the time in which the loop could hear; only differences mean something."""
-        return self._heard_s + min(steady_s() - self._ticked_s, LONGEST_STEP_S)
+        return self._heard_s + min(steady_s() - self._ticked_s, MAX_STEP_S)
 
-    def held_s(self) -> float:
+    def stalled_s(self) -> float:
         """Give the time for which the loop was held up, in all."""
-        return self._held_s + max(0.0, steady_s() - self._ticked_s - LONGEST_STEP_S)
+        return self._held_s + max(0.0, steady_s() - self._ticked_s - MAX_STEP_S)
 
-    def heard_since_s(self, since_s: float) -> float:
+    def active_since_s(self, since_s: float) -> float:
         """Give for how long the loop could hear since a loop time."""
         now_s = steady_s()
-        held_s = max(0.0, now_s - max(since_s, self._ticked_s + LONGEST_STEP_S))
+        held_s = max(0.0, now_s - max(since_s, self._ticked_s + MAX_STEP_S))
         for from_s, until_s in reversed(self._held):
             if until_s <= since_s:
                 break
@@ -78,23 +78,23 @@
         loop = asyncio.get_running_loop()
         now_s = loop.time()
         step_s = now_s - self._ticked_s
-        beyond_s = step_s - LONGEST_STEP_S
-        self._heard_s += min(step_s, LONGEST_STEP_S)
+        beyond_s = step_s - MAX_STEP_S
+        self._heard_s += min(step_s, MAX_STEP_S)
         if beyond_s > 0:
             self._held_s += beyond_s
-            self._held.append((self._ticked_s + LONGEST_STEP_S, now_s))
+            self._held.append((self._ticked_s + MAX_STEP_S, now_s))
         self._ticked_s = now_s
         if beyond_s > 0:
             self._note_hold(step_s - TICK_S)
         loop.call_later(TICK_S, self._tick)
 
     def _note_hold(self, hold_s: float) -> None:
-        self.holds[sum(hold_s > bound_s for bound_s in HOLD_BOUNDS_S)] += 1
+        self.stall_counts[sum(hold_s > bound_s for bound_s in STALL_BOUNDS_S)] += 1
         if hold_s >= SHOWN_HOLD_S:
-            log.warning("loop was held up", for_s=round(hold_s, 3), holds=sum(self.holds))
+            log.warning("loop was held up", for_s=round(hold_s, 3), holds=sum(self.stall_counts))
 
 
-class HeardTimer:
+class ActiveTimer:
     """Calls back once a time has passed in which this process could hear.
 
     Where it comes late, what had arrived by then is read first.
@@ -112,7 +112,7 @@
         self._clock = clock()
         self._callback = callback
         self._put_off = False  # once only: a loop that is late each time must come to an end too
-        self._due_s = self._clock.heard_s() + delay_s
+        self._due_s = self._clock.active_s() + delay_s
         self._look_again(max(0.0, delay_s))
 
     def cancel(self) -> None:
@@ -124,12 +124,12 @@
         self._handle = self._loop.call_at(self._look_s, self._look)
 
     def _look(self) -> None:
-        left_s = self._due_s - self._clock.heard_s()
+        left_s = self._due_s - self._clock.active_s()
         if left_s > 0:
             self._look_again(left_s)
         elif self._loop.time() - self._look_s > LATE_S and not self._put_off:
             self._put_off = True
-            self._look_again(INPUT_S)
+            self._look_again(INPUT_GRACE_S)
         else:
             self._callback()
 
@@ -158,7 +158,7 @@
 
     def _come(self) -> None:
         if self._loop.time() - self._when_s > HELD_UP_S:
-            self._handle = self._loop.call_later(INPUT_S, self._callback)
+            self._handle = self._loop.call_later(INPUT_GRACE_S, self._callback)
         else:
             self._callback()
 
@@ -168,7 +168,7 @@
 
     __slots__ = ("_limit", "_loop", "_timer")
 
-    _timer: DeadlineTimer | HeardTimer
+    _timer: DeadlineTimer | ActiveTimer
 
     async def __aenter__(self) -> asyncio.Timeout:
         self._loop = asyncio.get_running_loop()
@@ -186,14 +186,14 @@
         self._timer.cancel()
         await self._limit.__aexit__(kind, error, trace)
 
-    def _start(self, callback: Callable[[], None]) -> DeadlineTimer | HeardTimer:
+    def _start(self, callback: Callable[[], None]) -> DeadlineTimer | ActiveTimer:
         raise NotImplementedError
 
     def _end(self) -> None:
         self._limit.reschedule(self._loop.time())
 
 
-class heard_timeout(_Bounded):  # noqa: N801 (used like asyncio.timeout)
+class active_timeout(_Bounded):  # noqa: N801 (used like asyncio.timeout)
     """Bound a wait for a peer, like ``asyncio.timeout``, by the time in which it could be heard.
 
     Parameters
@@ -207,10 +207,10 @@
     def __init__(self, delay_s: float | None) -> None:
         self._delay_s = math.inf if delay_s is None else delay_s
 
-    def _start(self, callback: Callable[[], None]) -> DeadlineTimer | HeardTimer:
+    def _start(self, callback: Callable[[], None]) -> DeadlineTimer | ActiveTimer:
         if math.isinf(self._delay_s):
             return DeadlineTimer(when_s=math.inf, callback=callback)
-        return HeardTimer(delay_s=self._delay_s, callback=callback)
+        return ActiveTimer(delay_s=self._delay_s, callback=callback)
 
 
 class deadline_at(_Bounded):  # noqa: N801 (used like asyncio.timeout_at)
@@ -224,11 +224,11 @@
     def __init__(self, when_s: float) -> None:
         self._when_s = when_s
 
-    def _start(self, callback: Callable[[], None]) -> DeadlineTimer | HeardTimer:
+    def _start(self, callback: Callable[[], None]) -> DeadlineTimer | ActiveTimer:
         return DeadlineTimer(when_s=self._when_s, callback=callback)
 
 
-async def heard_wait(tasks: Collection[asyncio.Future[Any]], delay_s: float) -> bool:
+async def active_wait(tasks: Collection[asyncio.Future[Any]], delay_s: float) -> bool:
     """Wait until the first of some tasks is done, like ``asyncio.wait``; they go on.
 
     Parameters
@@ -249,7 +249,7 @@
         if not woken.done():
             woken.set_result(None)
 
-    timer = HeardTimer(delay_s=delay_s, callback=wake)
+    timer = ActiveTimer(delay_s=delay_s, callback=wake)
     for task in tasks:
         task.add_done_callback(wake)
     try:
@@ -261,34 +261,34 @@
     return any(task.done() for task in tasks)
 
 
-async def heard_sleep(delay_s: float) -> None:
+async def active_sleep(delay_s: float) -> None:
     """Sleep for a time in which peers could be heard; what arrived in a hold is read first."""
-    await heard_wait((), delay_s)
+    await active_wait((), delay_s)
 
 
-def clock() -> HearingClock:
+def clock() -> ActiveClock:
     """Give the clock of the running loop; it begins with the first look at it."""
     loop = asyncio.get_running_loop()
     found = _clocks.get(loop)
     if found is None:
-        found = _clocks[loop] = HearingClock()
+        found = _clocks[loop] = ActiveClock()
     return found
 
 
-def heard_s() -> float:
+def active_s() -> float:
     """Give the time in which the running loop could hear."""
-    return clock().heard_s()
+    return clock().active_s()
 
 
-def heard_since_s(since_s: float) -> float:
+def active_since_s(since_s: float) -> float:
     """Give for how long the running loop could hear since a loop time.
 
     It is what a silence is judged by; ages that others are told go on while we are held up.
     """
-    return clock().heard_since_s(since_s)
+    return clock().active_since_s(since_s)
 
 
-_clocks: weakref.WeakKeyDictionary[asyncio.AbstractEventLoop, HearingClock] = (
+_clocks: weakref.WeakKeyDictionary[asyncio.AbstractEventLoop, ActiveClock] = (
     weakref.WeakKeyDictionary()
 )
 
@@ -299,8 +299,8 @@
     "HearingClock",
     "clock",
     "deadline_at",
-    "heard_s",
-    "heard_since_s",
+    "active_s",
+    "active_since_s",
     "heard_sleep",
     "heard_timeout",
     "heard_wait",
--- a/src/leadhollow/kernel/task_service.py
+++ b/src/leadhollow/kernel/task_service.py
@@ -9,7 +9,7 @@
 from leadhollow.failure import Failure
 from leadhollow.observe.logs import get_logger
 
-RESTART_PAUSE_S = 0.2  # of work that ended by an error
+RESTART_DELAY_S = 0.2  # of work that ended by an error
 
 log = get_logger("service")
 
@@ -47,7 +47,7 @@
                 return
             except Exception as error:
                 log.error("work ended by an error", service=type(self).__name__, error=repr(error))
-            await asyncio.sleep(RESTART_PAUSE_S)
+            await asyncio.sleep(RESTART_DELAY_S)
 
     async def _work(self) -> None:
         raise NotImplementedError
--- a/src/leadhollow/membership/applied_reports.py
+++ b/src/leadhollow/membership/applied_reporter.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from leadhollow.kernel.hearing import heard_s
+from leadhollow.kernel.active_time import active_s
 from leadhollow.kernel.task_service import TaskService
-from leadhollow.membership.applied import AppliedRevisions
+from leadhollow.membership.applied_revisions import AppliedRevisions
 from leadhollow.membership.catalog_feed import CatalogFeed
 from leadhollow.membership.domain_service import DomainService
 from leadhollow.membership.summary import capacity_lines
@@ -45,15 +45,15 @@
         handlers.on_oneway(AppliedReport, self._on_applied)
 
     def _on_applied(self, report: AppliedReport, connection: Connection) -> None:
-        self._applied.note(vm=report.vm, revision=report.revision, now_s=heard_s())
+        self._applied.record(vm=report.vm, revision=report.revision, now_s=active_s())
 
     async def _work(self) -> None:
         last: DomainApplied | None = None
         while True:
-            self._applied.note(
-                vm=self._settings.vm, revision=self._feed.catalog.revision, now_s=heard_s()
+            self._applied.record(
+                vm=self._settings.vm, revision=self._feed.catalog.revision, now_s=active_s()
             )
-            self._applied.forget_silent(heard_s())
+            self._applied.forget_silent(active_s())
             report = self._report()
             if not _same_revisions(last, report):
                 await self._send(report)
--- a/src/leadhollow/membership/applied.py
+++ b/src/leadhollow/membership/applied_revisions.py
@@ -22,7 +22,7 @@
         self._heard_s: dict[str, float] = {}
         self._changed = asyncio.Event()
 
-    def note(self, *, vm: str, revision: int, now_s: float) -> None:
+    def record(self, *, vm: str, revision: int, now_s: float) -> None:
         """Take a report; a revision never goes back unless the VM restarted."""
         self._heard_s[vm] = now_s
         if self._revisions.get(vm) != revision:
--- a/src/leadhollow/membership/control_feed.py
+++ b/src/leadhollow/membership/control_feed.py
@@ -12,7 +12,7 @@
 from leadhollow.codes import Code
 from leadhollow.decide.pressure import DecisionCounts
 from leadhollow.failure import Failure
-from leadhollow.kernel import clocks, hearing
+from leadhollow.kernel import active_time, clocks
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.membership.entry_count import EntryCount
 from leadhollow.membership.instance_table import InstanceTable
@@ -20,8 +20,8 @@
 from leadhollow.membership.naming_times import NamingTimes
 from leadhollow.membership.packed_items import unpack_items
 from leadhollow.membership.packed_uses import unpack_uses
-from leadhollow.membership.replica_choice import ReplicaChoice, confirms
-from leadhollow.membership.unnamed import UnnamedInstances
+from leadhollow.membership.replica_selector import ReplicaSelector, confirms
+from leadhollow.membership.unlisted_instances import UnlistedInstances
 from leadhollow.membership.uses import Use, decode_decisions
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.node import NodeRole, NodeSettings
@@ -62,8 +62,8 @@
 SuspectsListener = Callable[[SuspectNews, bool], None]
 LimitsListener = Callable[[LimitNews, bool], None]
 LeaseListener = Callable[[LimitLease], None]
-FollowListener = Callable[[], None]
-RestsListener = Callable[[list[ServerWord]], None]
+FullUpdateListener = Callable[[], None]
+BackoffListener = Callable[[list[ServerWord]], None]
 
 log = get_logger("feed")
 
@@ -119,16 +119,16 @@
         self._suspects_listeners: list[SuspectsListener] = []
         self._limits_listeners: list[LimitsListener] = []
         self._lease_listeners: list[LeaseListener] = []
-        self._follow_listeners: list[FollowListener] = []
-        self._rests_listeners: list[RestsListener] = []
+        self._follow_listeners: list[FullUpdateListener] = []
+        self._rests_listeners: list[BackoffListener] = []
         self._engines: list[str] = []  # addresses by their numbers on the feed that is followed
         self.catalog = Catalog()
         self.naming_times = NamingTimes(clock=asyncio.get_running_loop().time)
         self.catalog.on_change(self._note_named)
         self.table = table
-        self._unnamed = UnnamedInstances(table=table)
+        self._unnamed = UnlistedInstances(table=table)
         self.ready = asyncio.Event()
-        self._replicas = ReplicaChoice(settings=settings, peers=peers, begun=self.ready.is_set)
+        self._replicas = ReplicaSelector(settings=settings, peers=peers, begun=self.ready.is_set)
         self._entries = EntryCount(clock=clocks.elapsed_s)
         self.confirmed_s: float | None = None
         super().__init__()
@@ -141,7 +141,7 @@
     @property
     def entries(self) -> int:
         """Entries that may be live in the whole system."""
-        return self._entries.most()
+        return self._entries.maximum()
 
     def on_load(self, listener: LoadListener) -> None:
         """Call a function with each report of load and the loop time it was made at."""
@@ -176,11 +176,11 @@
         """Call a function with each lease of shares of limits."""
         self._lease_listeners.append(listener)
 
-    def on_rests(self, listener: RestsListener) -> None:
+    def on_backoffs(self, listener: BackoffListener) -> None:
         """Call a function with rests that backend servers asked of other entries."""
         self._rests_listeners.append(listener)
 
-    def on_followed(self, listener: FollowListener) -> None:
+    def on_full_update(self, listener: FullUpdateListener) -> None:
         """Call a function each time that a replica has told everything, having been chosen."""
         self._follow_listeners.append(listener)
 
@@ -194,9 +194,9 @@
             address = await self._replicas.choose()
             followed = address is not None and await self._follow(address)
             failed = 0 if followed else failed + 1
-            await asyncio.sleep(self.pause_s(failed))
+            await asyncio.sleep(self.retry_delay_s(failed))
 
-    def pause_s(self, failed: int) -> float:
+    def retry_delay_s(self, failed: int) -> float:
         """Give the time until replicas are looked for again.
 
         Parameters
@@ -261,7 +261,7 @@
         if decoded.is_err():
             log.error("catalog update not understood", failure=str(decoded.unwrap_err()))
             return False
-        self.naming_times.learn(update.named or ())
+        self.naming_times.merge(update.named or ())
         self.catalog.apply(decoded.unwrap(), revision=update.revision or 0)
         self._take_instances(update, now_s)
         for load in update.loads or ():
@@ -278,7 +278,7 @@
         for followed in self._follow_listeners if update.whole else ():
             followed()
         self._replicas.take(update.replicas)
-        self._entries.take(int(update.entries or 0))
+        self._entries.record(int(update.entries or 0))
         if confirms(update):
             self.confirmed_s = clocks.elapsed_s() - update.confirmed_age_ms / 1000
             if not self.ready.is_set():
@@ -289,16 +289,16 @@
     def _take_instances(self, update: FeedUpdate, now_s: float) -> None:
         records = update.instances or ()
         for record in records:
-            self.table.take(Instance.from_record(record, now_s))
+            self.table.merge(Instance.from_record(record, now_s))
         named = [record.instance for record in records]
-        heard_s = hearing.heard_s()
+        heard_s = active_time.active_s()
         self._unnamed.take(named, update.silent or (), whole=bool(update.whole), now_s=heard_s)
         self._unnamed.forget(heard_s)
 
     def _note_named(self, items: list[CatalogItem]) -> None:
         for item in items:
             if isinstance(item.value, NamedVersion) and item.value.named:
-                self.naming_times.note(item.value.model, item.value.number)
+                self.naming_times.record(item.value.model, item.value.number)
 
     def _take_limits(self, update: FeedUpdate) -> None:
         if update.limits is not None or update.whole:
--- a/src/leadhollow/membership/domain_service.py
+++ b/src/leadhollow/membership/domain_service.py
@@ -7,8 +7,8 @@
 from result import Err, Ok, Result
 
 from leadhollow.failure import Failure
-from leadhollow.kernel.hearing import heard_s
-from leadhollow.membership.applied import AppliedRevisions
+from leadhollow.kernel.active_time import active_s
+from leadhollow.membership.applied_revisions import AppliedRevisions
 from leadhollow.membership.members import Member, MemberTable
 from leadhollow.membership.summaries import Summaries
 from leadhollow.observe.logs import get_logger
@@ -95,25 +95,25 @@
     async def _on_announcement(
         self, announcement: Announcement, connection: Connection
     ) -> Result[Done, Failure]:
-        refusal = self.members.announce(announcement, connection, heard_s())
+        refusal = self.members.announce(announcement, connection, active_s())
         if refusal is not None:
             return Err(refusal)
         if announcement.leaving:
             self._applied.forget(announcement.vm)
         else:
-            self._applied.note(
-                vm=announcement.vm, revision=announcement.applied_revision or 0, now_s=heard_s()
+            self._applied.record(
+                vm=announcement.vm, revision=announcement.applied_revision or 0, now_s=active_s()
             )
         self._spread()
         return Ok(Done())
 
     def _on_heartbeat(self, heartbeat: Heartbeat, connection: Connection) -> None:
-        member = self.members.heartbeat(heartbeat, connection, heard_s())
+        member = self.members.heartbeat(heartbeat, connection, active_s())
         if member is None:
             connection.close()  # the sender connects and announces itself again
             return
-        self._applied.note(
-            vm=member.announcement.vm, revision=heartbeat.applied_revision or 0, now_s=heard_s()
+        self._applied.record(
+            vm=member.announcement.vm, revision=heartbeat.applied_revision or 0, now_s=active_s()
         )
 
     async def _on_view_watch(self, request: ViewWatch, sink: StreamSink) -> Result[None, Failure]:
@@ -178,7 +178,7 @@
     async def _watch_silence(self) -> None:
         while True:
             await asyncio.sleep(SILENCE_CHECK_S)
-            self.members.check_silence(heard_s())
+            self.members.check_silence(active_s())
             self._spread()
 
 
--- a/src/leadhollow/membership/entry_count.py
+++ b/src/leadhollow/membership/entry_count.py
@@ -25,7 +25,7 @@
         self._clock = clock
         self._told: deque[tuple[float, int]] = deque()  # counts that fall, with when each was told
 
-    def take(self, count: int) -> None:
+    def record(self, count: int) -> None:
         """Take the number of live entries as a replica knows it."""
         now_s = self._clock()
         while self._told and self._told[-1][1] <= count:
@@ -33,7 +33,7 @@
         self._told.append((now_s, count))
         self._forget(now_s)
 
-    def most(self) -> int:
+    def maximum(self) -> int:
         """Give the highest count, at least this entry itself."""
         self._forget(self._clock())
         return max(1, self._told[0][1]) if self._told else 1
--- a/src/leadhollow/membership/instance_table.py
+++ b/src/leadhollow/membership/instance_table.py
@@ -42,7 +42,7 @@
     forget_after_s
         Silence after which an incarnation is dropped without a word of its own. A control replica
         hears heartbeats and judges by them (:meth:`forget_silent`); one that is only told what
-        changes judges by whom the replica names (:mod:`leadhollow.membership.unnamed`).
+        changes judges by whom the replica names (:mod:`leadhollow.membership.unlisted_instances`).
     heartbeat_s
         How often an incarnation announces itself.
     """
@@ -77,7 +77,7 @@
         found = self._instances.get(life.rpartition("@")[0])
         return found if found is not None and found.life == life else None
 
-    def take(self, heard: Instance) -> bool:
+    def merge(self, heard: Instance) -> bool:
         """Take a record.
 
         Returns
@@ -117,7 +117,7 @@
         self._tell(heard)
         return True
 
-    def note_leaving(self, life: str) -> Instance | None:
+    def record_leaving(self, life: str) -> Instance | None:
         """Note that a life leaves, as an answer of it said; None where that is no news.
 
         A life that is not known yet leaves from the first record on.
@@ -128,7 +128,7 @@
             return None
         return self._instances[known.instance]
 
-    def leave(self, instance: str, *, born_ms: int = 0) -> Instance | None:
+    def deregister(self, instance: str, *, born_ms: int = 0) -> Instance | None:
         """Note that an incarnation left, also one that was never heard of; None if known gone.
 
         Parameters
@@ -168,7 +168,7 @@
         """Give all incarnations that have not left."""
         return list(self._instances.values())
 
-    def departed(self) -> list[Instance]:
+    def deregistered(self) -> list[Instance]:
         """Give the incarnations that left, as far as they are remembered."""
         return list(self._departed.values())
 
--- a/src/leadhollow/membership/instances.py
+++ b/src/leadhollow/membership/instances.py
@@ -42,7 +42,7 @@
         """Give everything that tells two of them apart."""
         return self.model, self.version, self.first_layer, self.end_layer
 
-    def record(self) -> ServedModel:
+    def to_record(self) -> ServedModel:
         """Give the message."""
         return ServedModel(self.model, self.version, self.first_layer, self.end_layer)
 
@@ -147,7 +147,7 @@
             and self.served == other.served
         )
 
-    def record(self, now_s: float) -> InstanceRecord:
+    def to_record(self, now_s: float) -> InstanceRecord:
         """Give the message; times travel as ages, because clocks differ."""
         return InstanceRecord(
             self.instance,
@@ -157,7 +157,7 @@
             self.sequence,
             int(self.state),
             self.slots,
-            [served.record() for served in self.served],
+            [served.to_record() for served in self.served],
             int((now_s - self.heard_s) * 1000),
             max(0, int((self.cold_until_s - now_s) * 1000)),
             self.born_ms,
--- a/src/leadhollow/membership/limit_news.py
+++ b/src/leadhollow/membership/limit_news.py
@@ -22,7 +22,7 @@
     ShareRequest,
 )
 
-MOST_REQUESTS = 4_096  # of one message; an entry sends one, a replica those of its entries
+MAX_REQUESTS = 4_096  # of one message; an entry sends one, a replica those of its entries
 NEVER_MS = -1
 
 
@@ -106,7 +106,7 @@
 
 
 __all__ = [
-    "MOST_REQUESTS",
+    "MAX_REQUESTS",
     "decode_limits",
     "decode_request",
     "encode_limits",
--- a/src/leadhollow/membership/naming_times.py
+++ b/src/leadhollow/membership/naming_times.py
@@ -39,11 +39,11 @@
         self._named_s: dict[tuple[str, int], float] = {}
         self.changes = 0  # counts what was learned, so that news can be told once
 
-    def note(self, model: str, number: int) -> None:
+    def record(self, model: str, number: int) -> None:
         """Note that a version is named now, unless an earlier time is known."""
         self._learn(model, number, self._elapsed_s())
 
-    def learn(self, ages: Iterable[VersionAge]) -> None:
+    def merge(self, ages: Iterable[VersionAge]) -> None:
         """Take what others know."""
         now_s = self._elapsed_s()
         for age in ages:
--- a/src/leadhollow/membership/packed_items.py
+++ b/src/leadhollow/membership/packed_items.py
@@ -16,7 +16,7 @@
 from leadhollow.failure import Failure
 from leadhollow.state.records import CatalogItem
 
-FEWEST = 8  # items; fewer are told one by one
+MIN_PACKED_ITEMS = 8  # items; fewer are told one by one
 LEVEL = 1  # of zlib; the higher ones take five times as long for a sixth less
 LARGEST_BYTES = 64 * 1024 * 1024  # unpacked; more is damage
 
@@ -48,4 +48,4 @@
         return Err(Failure(code=Code.FRAME_MALFORMED, detail=f"packed items: {error}"))
 
 
-__all__ = ["FEWEST", "LARGEST_BYTES", "pack_items", "unpack_items"]
+__all__ = ["MIN_PACKED_ITEMS", "LARGEST_BYTES", "pack_items", "unpack_items"]
--- a/src/leadhollow/membership/replica_choice.py
+++ b/src/leadhollow/membership/replica_selector.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from leadhollow.kernel.hearing import heard_s, heard_wait
+from leadhollow.kernel.active_time import active_s, active_wait
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.node import NodeSettings
 from leadhollow.wire.generated.ttypes import FeedProbe, FeedProbeReply, FeedUpdate
@@ -24,7 +24,7 @@
 log = get_logger("feed")
 
 
-class ReplicaChoice:
+class ReplicaSelector:
     """Replicas that are known, and how fresh they are.
 
     Parameters
@@ -83,9 +83,9 @@
         loop = asyncio.get_running_loop()
         tasks = {loop.create_task(self._probe(address)): address for address in addresses}
         answers: dict[str, FeedProbeReply] = {}
-        deadline_s = heard_s() + self._probe_timeout_ms() / 1000
+        deadline_s = active_s() + self._probe_timeout_ms() / 1000
         pending = list(tasks)
-        while pending and await heard_wait(pending, max(0.0, deadline_s - heard_s())):
+        while pending and await active_wait(pending, max(0.0, deadline_s - active_s())):
             done = [task for task in pending if task.done()]
             pending = [task for task in pending if not task.done()]
             for task in done:
@@ -93,7 +93,7 @@
                 if answer is not None:
                     answers[tasks[task]] = answer
                     if confirms(answer):
-                        deadline_s = min(deadline_s, heard_s() + BETTER_PAUSE_S)
+                        deadline_s = min(deadline_s, active_s() + BETTER_PAUSE_S)
         for task in pending:
             task.cancel()
         return answers
--- a/src/leadhollow/membership/reporting.py
+++ b/src/leadhollow/membership/reporting.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-SHORTEST_INTERVAL_S = 0.5
-REPORTS_PER_S = 40.0  # of all engines together; each takes an entry about 45 bytes
+MIN_REPORT_INTERVAL_S = 0.5
+MAX_REPORTS_PER_S = 40.0  # of all engines together; each takes an entry about 45 bytes
 VALID_INTERVALS = 3  # an engine whose report is older was not heard of lately
 
 
@@ -20,7 +20,7 @@
     engines
         Engines whose reports travel together.
     """
-    return max(SHORTEST_INTERVAL_S, engines / REPORTS_PER_S)
+    return max(MIN_REPORT_INTERVAL_S, engines / MAX_REPORTS_PER_S)
 
 
 __all__ = ["SHORTEST_INTERVAL_S", "VALID_INTERVALS", "report_interval_s"]
--- a/src/leadhollow/membership/server_words.py
+++ b/src/leadhollow/membership/self_reports.py
@@ -8,11 +8,11 @@
 from leadhollow.failure import Failure
 from leadhollow.wire.generated.ttypes import ServerWord, ServerWords
 
-MOST_WORDS = 1_024  # of one message
+MAX_REPORTS = 1_024  # of one message
 LONGEST_REST_MS = (1 << 31) - 1  # that a message can carry
 
 
-def leaving_word(life: str, *, told_by: str = "") -> ServerWord:
+def leaving_report(life: str, *, told_by: str = "") -> ServerWord:
     """Encode that a life leaves.
 
     Parameters
@@ -23,13 +23,13 @@
     return ServerWord(life=life, leaving=True, told_by=told_by)
 
 
-def rest_word(life: str, left_s: float, *, told_by: str = "") -> ServerWord:
+def backoff_report(life: str, left_s: float, *, told_by: str = "") -> ServerWord:
     """Encode a rest by what is left of it."""
     rest_ms = min(LONGEST_REST_MS, max(1, round(left_s * 1000)))
     return ServerWord(life=life, rest_ms=rest_ms, told_by=told_by)
 
 
-def check_words(words: ServerWords) -> Result[list[ServerWord], Failure]:
+def check_reports(words: ServerWords) -> Result[list[ServerWord], Failure]:
     """Give the words of a message.
 
     Errors
@@ -38,7 +38,7 @@
         One names no server or a negative rest, or there are too many.
     """
     found = list(words.words or ())
-    if len(found) > MOST_WORDS:
+    if len(found) > MAX_REPORTS:
         return Err(_malformed(f"{len(found)} words"))
     for word in found:
         if not word.life:
--- a/src/leadhollow/membership/summaries.py
+++ b/src/leadhollow/membership/summaries.py
@@ -9,7 +9,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.observe.logs import get_logger
 from leadhollow.wire.connection import Connection
@@ -59,7 +59,7 @@
         was_heard = domain in self._heard_s
         if summary.unchanged and (existing is None or existing.sender != summary.sender):
             return Err(Failure(code=Code.SUMMARY_UNKNOWN))
-        self._heard_s[domain] = hearing.heard_s()
+        self._heard_s[domain] = active_time.active_s()
         if not summary.unchanged and (existing is None or _newer(summary, existing)):
             self._latest[domain] = summary
             self._tell(domain)
@@ -70,7 +70,7 @@
     async def _work(self) -> None:
         while True:
             await asyncio.sleep(CHECK_S)
-            now_s = hearing.heard_s()
+            now_s = active_time.active_s()
             for domain, heard_s in list(self._heard_s.items()):
                 if now_s - heard_s >= VALID_S:
                     log.warning("failure domain not heard", failure_domain=domain)
--- a/src/leadhollow/membership/suspect_news.py
+++ b/src/leadhollow/membership/suspect_news.py
@@ -18,7 +18,7 @@
 FINGERPRINT_BYTES = 16
 
 
-class Changed:
+class SuspectChanges:
     """What a message said that was not known.
 
     Attributes
@@ -38,30 +38,30 @@
     def __bool__(self) -> bool:
         return bool(self.lives or self.fingerprints)
 
-    def add(self, other: Changed) -> None:
+    def merge(self, other: SuspectChanges) -> None:
         """Take in what else changed."""
         self.lives |= other.lives
         self.fingerprints |= other.fingerprints
 
-    def take(self) -> Changed:
+    def pop_all(self) -> SuspectChanges:
         """Give what changed and begin anew."""
-        taken = Changed()
-        taken.add(self)
+        taken = SuspectChanges()
+        taken.merge(self)
         self.lives = set()
         self.fingerprints = set()
         return taken
 
 
-def everything(table: SuspectTable) -> Changed:
+def all_records(table: SuspectTable) -> SuspectChanges:
     """Name all that a table knows."""
-    changed = Changed()
+    changed = SuspectChanges()
     changed.lives = {end.life for end in table.ends()}
     changed.fingerprints = {verdict.fingerprint for verdict in table.verdicts()}
     return changed
 
 
 def encode_news(
-    table: SuspectTable, changed: Changed, now_s: float, *, address: str = ""
+    table: SuspectTable, changed: SuspectChanges, now_s: float, *, address: str = ""
 ) -> SuspectNews:
     """Encode what changed; times travel as ages, because clocks differ.
 
@@ -80,7 +80,9 @@
     )
 
 
-def take_news(table: SuspectTable, news: SuspectNews, now_s: float) -> Result[Changed, Failure]:
+def merge_news(
+    table: SuspectTable, news: SuspectNews, now_s: float
+) -> Result[SuspectChanges, Failure]:
     """Merge what a message says.
 
     Errors
@@ -92,7 +94,7 @@
     failure = _check(ends, verdicts)
     if failure is not None:
         return Err(failure)
-    changed = Changed()
+    changed = SuspectChanges()
     for end in ends:
         if table.merge_end(_end(end, now_s)):
             changed.lives.add(end.life)
@@ -152,4 +154,4 @@
     )
 
 
-__all__ = ["Changed", "encode_news", "everything", "take_news"]
+__all__ = ["Changed", "encode_news", "all_records", "merge_news"]
--- a/src/leadhollow/membership/unnamed.py
+++ b/src/leadhollow/membership/unlisted_instances.py
@@ -16,7 +16,7 @@
 log = get_logger("instances")
 
 
-class UnnamedInstances:
+class UnlistedInstances:
     """Drops incarnations that the followed replica has not named for long.
 
     Parameters
--- a/src/leadhollow/membership/uses.py
+++ b/src/leadhollow/membership/uses.py
@@ -46,7 +46,7 @@
         return hash((self.requests, self.unread_tokens))
 
     @property
-    def nothing(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether there is nothing at the engine."""
         return self.requests == 0 and self.unread_tokens == 0
 
--- a/src/leadhollow/membership/view.py
+++ b/src/leadhollow/membership/view.py
@@ -50,7 +50,7 @@
         """Call a function with server and in-flight count of each report of load."""
         self._load_listeners.append(listener)
 
-    def tell_loads(self) -> None:
+    def report_loads(self) -> None:
         """Report every load that is known now."""
         for member in self._members.values():
             self._tell_load(member)
@@ -105,7 +105,7 @@
         """Give all members of the own failure domain."""
         return list(self._members.values())
 
-    def elsewhere(self, kind: str, name: str) -> list[CapacityLine]:
+    def remote_lines(self, kind: str, name: str) -> list[CapacityLine]:
         """Give other domains' lines for a root or a service, the freest first.
 
         Parameters
--- a/src/leadhollow/node/entry_role.py
+++ b/src/leadhollow/node/entry_role.py
@@ -26,7 +26,7 @@
 from leadhollow.forward.use_reporter import UseReporter
 from leadhollow.kernel import clocks
 from leadhollow.kernel.task_service import TaskService
-from leadhollow.kernel.timers import TIMER_STEP_S
+from leadhollow.kernel.timers import TIMER_RESOLUTION_S
 from leadhollow.membership.control_feed import ControlFeed
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.node.process import FEED_FORGET_AFTER_S
@@ -144,7 +144,7 @@
             return
         self._waiting.clear()
         try:
-            async with asyncio.timeout(max(TIMER_STEP_S, longest_s)):
+            async with asyncio.timeout(max(TIMER_RESOLUTION_S, longest_s)):
                 await self._waiting.wait()
         except TimeoutError:
             return
--- a/src/leadhollow/node/process.py
+++ b/src/leadhollow/node/process.py
@@ -8,7 +8,7 @@
 from result import Result
 
 from leadhollow.failure import Failure
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.kernel.kernel import Kernel
 from leadhollow.node.dialects import Dialects
 from leadhollow.settings.address import Address
@@ -75,7 +75,7 @@
 
     async def start(self) -> Result[None, Failure]:
         """Start all services."""
-        hearing.clock()  # holds are noted from the first moment on
+        active_time.clock()  # holds are noted from the first moment on
         return await self.kernel.start()
 
     async def stop(self) -> bool:
--- a/src/leadhollow/placement/allocator.py
+++ b/src/leadhollow/placement/allocator.py
@@ -6,8 +6,8 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.kernel.hearing import heard_s
-from leadhollow.membership.applied import AppliedRevisions
+from leadhollow.kernel.active_time import active_s
+from leadhollow.membership.applied_revisions import AppliedRevisions
 from leadhollow.observe.logs import get_logger
 from leadhollow.placement.domain_lease import DomainLease
 from leadhollow.placement.fair_share import Claimant, weighted_max_min
@@ -70,8 +70,8 @@
     async def _on_demand(
         self, report: DemandReport, connection: Connection
     ) -> Result[ShareLease, Failure]:
-        now_s = heard_s()
-        self._applied.note(vm=report.vm, revision=report.applied_revision or 0, now_s=now_s)
+        now_s = active_s()
+        self._applied.record(vm=report.vm, revision=report.applied_revision or 0, now_s=now_s)
         if not self._lease.valid:
             return Err(Failure(code=Code.ALLOCATOR_ABSENT))
         wanted = {demand.group: demand.waiting + demand.running for demand in report.groups or ()}
--- a/src/leadhollow/process.py
+++ b/src/leadhollow/process.py
@@ -11,7 +11,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.kernel.kernel import Kernel
 from leadhollow.membership.catalog_feed import CatalogFeed
 from leadhollow.observe.metrics import Metrics
@@ -58,7 +58,7 @@
 
     async def start(self) -> Result[None, Failure]:
         """Start all services."""
-        hearing.clock()  # holds are noted from the first moment on
+        active_time.clock()  # holds are noted from the first moment on
         return await self.kernel.start()
 
     async def stop(self) -> bool:
@@ -112,8 +112,8 @@
         )
 
     def _register_domain(self) -> None:
-        from leadhollow.membership.applied import AppliedRevisions
-        from leadhollow.membership.applied_reports import AppliedReporter
+        from leadhollow.membership.applied_reporter import AppliedReporter
+        from leadhollow.membership.applied_revisions import AppliedRevisions
         from leadhollow.membership.domain_service import DomainService
         from leadhollow.membership.summaries import Summaries
         from leadhollow.membership.summary_sender import SummarySender
--- a/src/leadhollow/staging/installer.py
+++ b/src/leadhollow/staging/installer.py
@@ -11,7 +11,7 @@
     plan_versions,
     staleness_deadline_s,
 )
-from leadhollow.kernel.hearing import heard_s
+from leadhollow.kernel.active_time import active_s
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.membership.naming_times import NamingTimes
 from leadhollow.observe.logs import get_logger, log_decision
@@ -119,7 +119,7 @@
         self._times = times
         self._version_s = version_s
         self._turn = turn
-        self._began_s = heard_s()
+        self._began_s = active_s()
         self._stage_patience_s = FIRST_PATIENCE_S if first_start else LATER_PATIENCE_S
         self._wake = asyncio.Event()
         self._idle = False  # whether nothing was left to do at the last look
@@ -258,7 +258,7 @@
 
     def _may_hold_stage(self) -> bool:
         """Tell whether the engine, once it answers, may turn out to hold pieces already."""
-        age_s = heard_s() - self._began_s
+        age_s = active_s() - self._began_s
         return not self._read_back and age_s < self._stage_patience_s
 
     async def _install(self, staged: StagedVersion, bound: float) -> None:
@@ -315,8 +315,8 @@
 
     async def _wait_loaded(self, staged: StagedVersion, sequence: int) -> None:
         loop = asyncio.get_running_loop()
-        began_s, asked_s = loop.time(), heard_s()
-        while heard_s() - asked_s < LOAD_PATIENCE_S:
+        began_s, asked_s = loop.time(), active_s()
+        while active_s() - asked_s < LOAD_PATIENCE_S:
             await asyncio.sleep(STEP_S)
             report = await self._watch.refresh()
             if report is None:
--- a/src/leadhollow/staging/link_gauge.py
+++ b/src/leadhollow/staging/link_gauge.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from leadhollow.kernel.hearing import heard_s
+from leadhollow.kernel.active_time import active_s
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.membership.control_feed import ControlFeed
 from leadhollow.observe.logs import get_logger
@@ -75,10 +75,10 @@
             source = self._feed.source
             if not source:
                 continue
-            asked_s = heard_s()
+            asked_s = active_s()
             self._probe = _Probe(source=source, asked_s=asked_s)
             answered = await self._peers.call(source, FeedProbe(self._vm), timeout_ms=TIMEOUT_MS)
-            self._probe.took_s = heard_s() - asked_s
+            self._probe.took_s = active_s() - asked_s
             self.note(self._probe.took_s, lost=answered.is_err())
 
     def delay_s(self) -> float:
@@ -92,7 +92,7 @@
             return self._last_delay_s
         if probe.took_s is not None:
             return probe.took_s
-        return max(self._last_delay_s, heard_s() - probe.asked_s)
+        return max(self._last_delay_s, active_s() - probe.asked_s)
 
     def note(self, delay_s: float, *, lost: bool) -> None:
         """Take one probe's delay.
--- a/src/leadhollow/staging/load_reports.py
+++ b/src/leadhollow/staging/load_reports.py
@@ -7,7 +7,7 @@
 
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.membership.control_feed import ControlFeed
-from leadhollow.membership.server_words import leaving_word
+from leadhollow.membership.self_reports import leaving_report
 from leadhollow.observe.logs import get_logger
 from leadhollow.staging.engine_client import LocalEngine
 from leadhollow.staging.engine_dialect import EngineReport
@@ -118,7 +118,7 @@
         known = self._feed.table.at_address(self._address)
         if not report.leaving or known is None or known.born_ms != report.born_ms:
             return None
-        return ServerWords("", [leaving_word(known.life)])
+        return ServerWords("", [leaving_report(known.life)])
 
     async def tell(self) -> None:
         """Report the load to the control replica now."""
@@ -136,7 +136,7 @@
             report.memory_used_tokens,
             report.memory_tokens,
             int(report.pace * PACE_UNIT),
-            [served.record() for served in report.served],
+            [served.to_record() for served in report.served],
             self.switching or report.busy,
             0,
             staged_version,
--- a/src/leadhollow/staging/piece_fetch.py
+++ b/src/leadhollow/staging/piece_fetch.py
@@ -14,7 +14,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.kernel.hearing import heard_s
+from leadhollow.kernel.active_time import active_s
 from leadhollow.observe.logs import get_logger
 from leadhollow.staging.choice import Origin, SourceChoice
 from leadhollow.staging.news import news_pause_s
@@ -147,7 +147,7 @@
         self._window = window
         self._from_origin: asyncio.Queue[int] = asyncio.Queue()
         self._wake = asyncio.Event()
-        self._started_s = heard_s()
+        self._started_s = active_s()
         self._follow_s = 0.0
         self._unfollowed: list[Stager] = []  # take part, and their word is not needed
         self._turn = 0
@@ -156,7 +156,7 @@
         """Fetch until every piece is here."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        self._started_s = heard_s()
+        self._started_s = active_s()
         tasks = [loop.create_task(self._read_origin()) for _ in range(ORIGIN_READERS)]
         tasks.append(loop.create_task(self._keep_planning()))
         tasks.append(loop.create_task(self._keep_reporting()))
@@ -179,7 +179,7 @@
 
     def blocked(self) -> bool:
         """Tell whether nobody holds some of the pieces and the origin does not answer."""
-        now_s = heard_s()
+        now_s = active_s()
         return self._choice.blocked(list(self.version.held.missing()), now_s)
 
     async def _keep_reporting(self) -> None:
@@ -212,7 +212,7 @@
 
     def _follow_stagers(self) -> None:
         """Watch the stagers whose word is needed, and forget those that are not there any more."""
-        now_s = heard_s()
+        now_s = active_s()
         if self._sources and now_s < self._follow_s:
             return
         self._follow_s = now_s + FOLLOW_INTERVAL_S
@@ -247,13 +247,13 @@
 
     def _knows_others(self) -> bool:
         """Tell whether it is known who takes part; the origin must not be asked by everybody."""
-        if heard_s() - self._started_s > MEET_S:
+        if active_s() - self._started_s > MEET_S:
             return True
         return bool(self._sources) and all(source.tried for source in self._sources.values())
 
     def _plan(self) -> None:
         """Order missing pieces that somebody holds, as far as our link goes."""
-        now_s = heard_s()
+        now_s = active_s()
         if not self._stager_room() and not self._origin_room():
             return
         missing = [index for index in self.version.held.missing() if index not in self._ordered]
@@ -268,7 +268,7 @@
     def _order_from_stager(self, index: int, source: PieceSource) -> None:
         if not self._stager_room():
             return
-        now_s = heard_s()
+        now_s = active_s()
         self._ordered[index] = source
         self._ordered_s[index] = now_s
         source.order(index, now_s)
@@ -277,7 +277,7 @@
     def _order_from_origin(self, index: int) -> None:
         if self._origin_room():
             if not self._on_order_at_origin():
-                self._origin_progress_s = heard_s()
+                self._origin_progress_s = active_s()
             self._ordered[index] = None
             self._from_origin.put_nowait(index)
 
@@ -287,7 +287,7 @@
             return False
         at_origin = self._on_order_at_origin()
         from_stagers = len(self._ordered) - at_origin
-        silent_s = heard_s() - self._origin_progress_s
+        silent_s = active_s() - self._origin_progress_s
         coming = at_origin if silent_s < ORIGIN_SILENT_S else 0
         return self._window.stager_room(from_stagers=from_stagers, from_origin=coming)
 
@@ -344,7 +344,7 @@
 
         Not where our own link is slow: then all sources are.
         """
-        now_s = heard_s()
+        now_s = active_s()
         overdue = now_s - self._ordered_s[index] > OVERDUE_S
         if not overdue or self._window.link_slow:
             return False
@@ -378,9 +378,9 @@
             self._turn,
             PATIENCE_MS,
         )
-        asked_s = heard_s()
+        asked_s = active_s()
         answered = await connected.unwrap().call(request, timeout_ms=PATIENCE_MS + TRAVEL_MS)
-        now_s = heard_s()
+        now_s = active_s()
         if answered.is_err():
             self._note_failed(source, index, answered.unwrap_err(), now_s)
             return False
@@ -445,7 +445,7 @@
             index = await self._from_origin.get()
             if index not in version.held:
                 data = await self._origin.piece(version.model, version.number, index)
-                now_s = heard_s()
+                now_s = active_s()
                 self._origin_progress_s = now_s
                 if data is None:
                     self._choice.origin_failed(now_s)
--- a/src/leadhollow/state/disk_thread.py
+++ b/src/leadhollow/state/disk_thread.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import TypeVar
 
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 
 DiskAnswer = TypeVar("DiskAnswer")
 
@@ -27,7 +27,7 @@
         """Heard time that the work in progress has taken so far; 0 where there is none."""
         if self._busy_since_s is None:
             return 0.0
-        return hearing.heard_s() - self._busy_since_s
+        return active_time.active_s() - self._busy_since_s
 
     async def run(self, work: Callable[[], DiskAnswer]) -> DiskAnswer:
         """Run work and wait for it; a cancelled caller still waits for its end."""
@@ -35,7 +35,7 @@
         running = loop.run_in_executor(self._executor, work)
         self._pending += 1
         if self._busy_since_s is None:
-            self._busy_since_s = hearing.heard_s()
+            self._busy_since_s = active_time.active_s()
         running.add_done_callback(self._done)
         try:
             return await asyncio.shield(running)
@@ -45,7 +45,7 @@
 
     def _done(self, running: asyncio.Future[DiskAnswer]) -> None:
         self._pending -= 1
-        self._busy_since_s = hearing.heard_s() if self._pending else None
+        self._busy_since_s = active_time.active_s() if self._pending else None
 
     async def end(self) -> None:
         """Wait for the work in progress while the loop goes on, and end the thread."""
--- a/src/leadhollow/state/election.py
+++ b/src/leadhollow/state/election.py
@@ -8,7 +8,7 @@
 from result import Ok, Result
 
 from leadhollow.failure import Failure
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.observe.logs import get_logger
 from leadhollow.state.leadership import DISK_STALL_S, Leadership
 from leadhollow.state.log_store import Vote
@@ -58,14 +58,14 @@
         while True:
             factor = self._random.uniform(1.0, LONGEST_TIMEOUT_FACTOR)
             timeout_s = state.election_timeout_s * factor
-            await hearing.heard_sleep(timeout_s / 4)
+            await active_time.active_sleep(timeout_s / 4)
             if state.role is ReplicaRole.LEADER:
                 self._leadership.check(timeout_s)
                 continue
             if state.failed:
                 await state.recover()
                 continue
-            if hearing.heard_s() - state.heard_s < timeout_s or not self._may_stand():
+            if active_time.active_s() - state.heard_s < timeout_s or not self._may_stand():
                 continue
             await self._stand()
 
@@ -160,7 +160,7 @@
     async def _stand(self, *, transfer: bool = False) -> None:
         state = self._state
         if not transfer and not await self._gather_votes(state.term + 1, pre_vote=True):
-            state.heard_s = hearing.heard_s()
+            state.heard_s = active_time.active_s()
             return
         term = await state.steps.run(lambda: self._vote_for_ourselves(transfer=transfer))
         if term is None:
@@ -169,7 +169,7 @@
         if won and state.term == term and state.role is ReplicaRole.CANDIDATE:
             self._leadership.begin()
         else:
-            state.heard_s = hearing.heard_s()
+            state.heard_s = active_time.active_s()
 
     async def _vote_for_ourselves(self, *, transfer: bool) -> int | None:
         """Begin a term as its candidate; None where somebody leads or the disk fails."""
--- a/src/leadhollow/state/following.py
+++ b/src/leadhollow/state/following.py
@@ -6,7 +6,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.observe.logs import get_logger
 from leadhollow.state.leadership import Leadership
 from leadhollow.state.log_store import Entry, Snapshot, Vote
@@ -70,7 +70,7 @@
         vote = Vote(term=request.term, voted_for=request.candidate, voter=True)
         if not await state.save_vote(vote):
             return VoteReply(state.term, False)
-        state.heard_s = hearing.heard_s()
+        state.heard_s = active_time.active_s()
         return VoteReply(request.term, True)
 
     def _meant_for_another(self, replica: str | None) -> bool:
@@ -169,7 +169,7 @@
                 return False
         if state.role is not ReplicaRole.FOLLOWER or state.leader_vm != leader:
             state.become_follower(leader)
-        state.heard_s = hearing.heard_s()
+        state.heard_s = active_time.active_s()
         state.leader_heard_s = now_s()
         return True
 
--- a/src/leadhollow/state/gateway.py
+++ b/src/leadhollow/state/gateway.py
@@ -8,7 +8,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.kernel.hearing import heard_s, heard_timeout
+from leadhollow.kernel.active_time import active_s, active_timeout
 from leadhollow.state.commands import AnyAnswer, Command, decode_answer, decode_command, encode
 from leadhollow.state.replica import Applied, Replica, ReplicaRole
 from leadhollow.wire.connection import Connection
@@ -49,10 +49,10 @@
         NO_MAJORITY
             Nothing was written.
         """
-        deadline_s = heard_s() + timeout_s
+        deadline_s = active_s() + timeout_s
         may_be_written = False
         while True:
-            left_s = deadline_s - heard_s()
+            left_s = deadline_s - active_s()
             if left_s <= 0:
                 code = Code.EDIT_UNKNOWN if may_be_written else Code.NO_MAJORITY
                 return Err(Failure(code=code))
@@ -74,14 +74,14 @@
         READ_UNCONFIRMED
             No leader with a majority answered in time, or we lag too far behind it.
         """
-        deadline_s = heard_s() + timeout_s
-        while heard_s() < deadline_s:
-            index = await self._read_index(deadline_s - heard_s())
+        deadline_s = active_s() + timeout_s
+        while active_s() < deadline_s:
+            index = await self._read_index(deadline_s - active_s())
             if index is None:
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             while self._replica.applied_index < index:
-                if heard_s() >= deadline_s:
+                if active_s() >= deadline_s:
                     return Err(Failure(code=Code.READ_UNCONFIRMED))
                 await asyncio.sleep(APPLY_POLL_S)
             return Ok(None)
@@ -120,7 +120,7 @@
 
     async def _propose_here(self, command: Command, left_s: float) -> Result[Applied, Failure]:
         try:
-            async with heard_timeout(left_s):
+            async with active_timeout(left_s):
                 return await self._replica.propose(command)
         except TimeoutError:
             return Err(Failure(code=Code.EDIT_UNKNOWN, detail="no majority answered in time"))
--- a/src/leadhollow/state/leadership.py
+++ b/src/leadhollow/state/leadership.py
@@ -9,8 +9,8 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.kernel import hearing
-from leadhollow.kernel.hearing import heard_timeout
+from leadhollow.kernel import active_time
+from leadhollow.kernel.active_time import active_timeout
 from leadhollow.observe.logs import get_logger
 from leadhollow.state.commands import Command, TermStart, encode
 from leadhollow.state.log_store import Entry
@@ -180,7 +180,7 @@
         self._answer_rounds()
         self._wake_all_followers()
         try:
-            async with heard_timeout(timeout_s):
+            async with active_timeout(timeout_s):
                 leads = await confirmed
         except TimeoutError:
             return Err(Failure(code=Code.NO_MAJORITY))
@@ -194,7 +194,7 @@
         if follower is None:
             log.info("learner found", replica=peer.replica, address=peer.address)
             follower = self._add_follower(peer)
-        follower.asked_s = hearing.heard_s()
+        follower.asked_s = active_time.active_s()
 
     def followers(self) -> list[Follower]:
         """Give what is known of the other replicas."""
@@ -204,7 +204,7 @@
         """Tell for how long a replica has not answered; at most as long as we lead."""
         follower = self._followers.get(replica)
         answered_s = 0.0 if follower is None else follower.answered_s
-        return hearing.heard_s() - max(answered_s, self._heard_since_s)
+        return active_time.active_s() - max(answered_s, self._heard_since_s)
 
     async def hand_over(self, timeout_s: float) -> bool:
         """Let a caught-up voter lead in our place; True once somebody else leads."""
@@ -231,7 +231,7 @@
         state.role = ReplicaRole.LEADER
         state.leader_vm = state.vm
         self.since_s = now_s()
-        self._heard_since_s = hearing.heard_s()
+        self._heard_since_s = active_time.active_s()
         self._transferring = False
         self._followers = {}
         self._proposals = []
@@ -287,7 +287,7 @@
             if voter.replica not in self._followers:
                 self._add_follower(voter)
         for replica, follower in list(self._followers.items()):
-            asks = hearing.heard_s() - follower.asked_s < LEARNER_FORGOTTEN_S
+            asks = active_time.active_s() - follower.asked_s < LEARNER_FORGOTTEN_S
             if replica not in self._state.voters.current and not asks:
                 del self._followers[replica]
                 if follower.task is not None:
@@ -347,7 +347,7 @@
         """Keep one follower up to date; the one task of that peer."""
         while self._leads(term):
             wake = self._wake_followers
-            sent_s, sent_heard_s = now_s(), hearing.heard_s()
+            sent_s, sent_heard_s = now_s(), active_time.active_s()
             reply = await self._send(follower, term)
             if not self._leads(term):
                 return
@@ -415,7 +415,7 @@
 
     def _unanswered(self, timeout_s: float) -> bool:
         """Tell whether a majority was silent for as long as we could have heard it."""
-        heard_s = hearing.heard_s()
+        heard_s = active_time.active_s()
         if heard_s <= self._heard_since_s + timeout_s:
             return False
         answered_s = self._majority_s(heard_s, lambda follower: follower.answered_s)
--- a/src/leadhollow/state/replica.py
+++ b/src/leadhollow/state/replica.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from leadhollow.failure import Failure
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.model import PeerSettings, StateSettings
 from leadhollow.state.commands import Command, decode_command
@@ -177,7 +177,7 @@
             state.commit_index = state.applied_index = state.store.snapshot.last_index
             state.note_snapshot(state.store.snapshot)
         state.note_entries(state.store.entries)
-        state.heard_s = hearing.heard_s()
+        state.heard_s = active_time.active_s()
         state.leader_heard_s = now_s()
         spawn(self._tasks, self._election.watch(fresh=state.store.blank))
         spawn(self._tasks, self._apply_committed())
--- a/src/leadhollow/state/replica_state.py
+++ b/src/leadhollow/state/replica_state.py
@@ -9,7 +9,7 @@
 from result import Result
 
 from leadhollow.failure import Failure
-from leadhollow.kernel import clocks, hearing
+from leadhollow.kernel import active_time, clocks
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.model import StateSettings
 from leadhollow.state.commands import AnyAnswer
@@ -232,7 +232,7 @@
         if written.is_err():
             return
         self.failed = False
-        self.heard_s = hearing.heard_s()
+        self.heard_s = active_time.active_s()
         log.warning("replica takes part again", replica=self.vm, last_index=self.store.last_index)
 
 
--- a/src/leadhollow/state/roster.py
+++ b/src/leadhollow/state/roster.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from leadhollow.kernel.hearing import heard_timeout
+from leadhollow.kernel.active_time import active_timeout
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.observe.logs import get_logger, log_decision
 from leadhollow.state.replica import Replica
@@ -65,7 +65,7 @@
             },
         )
         try:
-            async with heard_timeout(CHANGE_TIMEOUT_S):
+            async with active_timeout(CHANGE_TIMEOUT_S):
                 changed = await replica.propose(ChangeVoters(voters=voters))
         except TimeoutError:
             log.warning("voter change not committed yet", wanted=len(voters))
--- a/src/leadhollow/state/service.py
+++ b/src/leadhollow/state/service.py
@@ -10,7 +10,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.kernel.hearing import heard_timeout
+from leadhollow.kernel.active_time import active_timeout
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.model import Settings
 from leadhollow.state.commands import ExpireClaims, TermStart, decode_command, encode
@@ -89,7 +89,7 @@
         if isinstance(decoded.unwrap(), TermStart | ExpireClaims):
             return Err(Failure(code=Code.COMMAND_INVALID, detail="only a leader proposes this"))
         try:
-            async with heard_timeout(COMMIT_TIMEOUT_S):
+            async with active_timeout(COMMIT_TIMEOUT_S):
                 applied = await self.replica.propose(decoded.unwrap())
         except TimeoutError:
             return Err(Failure(code=Code.EDIT_UNKNOWN, detail="no majority answered in time"))
@@ -102,7 +102,7 @@
         self, request: LeaseRenewal, connection: Connection
     ) -> Result[LeaseRenewalReply, Failure]:
         try:
-            async with heard_timeout(COMMIT_TIMEOUT_S):
+            async with active_timeout(COMMIT_TIMEOUT_S):
                 given = await self._leases.renew_or_take(
                     name=request.name, holder=request.holder, fence=request.fence
                 )
--- a/src/leadhollow/wire/connection.py
+++ b/src/leadhollow/wire/connection.py
@@ -10,7 +10,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure, failure_from_number
-from leadhollow.kernel.hearing import heard_s, heard_timeout
+from leadhollow.kernel.active_time import active_s, active_timeout
 from leadhollow.observe.logs import get_logger
 from leadhollow.wire.codec import LENGTH, MAXIMUM_FRAME_BYTES, Frame, decode_frame, encode_frame
 from leadhollow.wire.generated.ttypes import Hello
@@ -98,7 +98,7 @@
         """
         if self._part_s is None or self.closed.is_set():
             return None
-        return heard_s() - self._part_s
+        return active_s() - self._part_s
 
     async def drain(self) -> None:
         """Wait until the socket takes more."""
@@ -126,7 +126,7 @@
         self._calls[call_id] = answer
         self.write(Frame(kind=FrameKind.REQUEST, call_id=call_id, body=body))
         try:
-            async with heard_timeout(timeout_ms / 1000):
+            async with active_timeout(timeout_ms / 1000):
                 frame = await answer
         except TimeoutError:
             return Err(Failure(code=Code.PEER_TIMEOUT))
@@ -163,7 +163,7 @@
             while data := await self._read_some():
                 buffer += data
                 failure = self._take_frames(buffer)
-                self._part_s = heard_s() if buffer else None
+                self._part_s = active_s() if buffer else None
                 if failure is not None:
                     log.warning("connection ended", peer=self.peer_name, failure=str(failure))
                     break
--- a/src/leadhollow/wire/peers.py
+++ b/src/leadhollow/wire/peers.py
@@ -8,7 +8,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure, failure_from_number
-from leadhollow.kernel.hearing import heard_timeout
+from leadhollow.kernel.active_time import active_timeout
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.address import Address
 from leadhollow.wire.codec import Frame
@@ -145,7 +145,7 @@
             return Err(parsed.unwrap_err())
         target = parsed.unwrap()
         try:
-            async with heard_timeout(DIAL_TIMEOUT_MS / 1000):
+            async with active_timeout(DIAL_TIMEOUT_MS / 1000):
                 reader, writer = await asyncio.open_connection(
                     target.host, target.port, limit=2**20
                 )
--- a/src/leadhollow/wire/server.py
+++ b/src/leadhollow/wire/server.py
@@ -9,7 +9,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.kernel.hearing import heard_timeout
+from leadhollow.kernel.active_time import active_timeout
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.address import Address
 from leadhollow.wire.codec import Frame
@@ -89,7 +89,7 @@
 
     async def _greet(self, connection: Connection) -> Result[None, Failure]:
         try:
-            async with heard_timeout(GREETING_TIMEOUT_S):
+            async with active_timeout(GREETING_TIMEOUT_S):
                 received = await connection.read_frame()
         except TimeoutError:
             return Err(Failure(code=Code.PEER_TIMEOUT, detail="no greeting"))
--- a/src/leadhollow/wire/streams.py
+++ b/src/leadhollow/wire/streams.py
@@ -9,7 +9,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure, failure_from_number
-from leadhollow.kernel.hearing import heard_timeout
+from leadhollow.kernel.active_time import active_timeout
 from leadhollow.wire.codec import Frame
 from leadhollow.wire.messages import Body, FrameKind
 
@@ -63,7 +63,7 @@
         wait_s = silence_s
         while True:
             try:
-                async with heard_timeout(wait_s):
+                async with active_timeout(wait_s):
                     return await self._queue.get()
             except TimeoutError:
                 part_age_s = self._connection.part_age_s()
--- a/tests/at_size/callers.py
+++ b/tests/at_size/callers.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from leadhollow.kernel.hearing import deadline_at, heard_timeout
+from leadhollow.kernel.active_time import active_timeout, deadline_at
 from tests.at_size.world import SizedWorld
 from tests.soak.backend import event
 from tests.soak.programs import Program
@@ -192,7 +192,7 @@
             try:
                 async with (
                     deadline_at(min(planned_s, overdue_s)),
-                    heard_timeout(GAP_S) as gap,
+                    active_timeout(GAP_S) as gap,
                 ):
                     data = await reader.read(READ_BYTES)
             except TimeoutError:
--- a/tests/config_path/site.py
+++ b/tests/config_path/site.py
@@ -22,7 +22,7 @@
 from leadhollow.control.version_ages import VersionAges
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import RequestHead
-from leadhollow.kernel import clocks, hearing
+from leadhollow.kernel import active_time, clocks
 from leadhollow.membership.control_feed import ControlFeed
 from leadhollow.membership.naming_times import NamingTimes
 from leadhollow.node.entry_role import Dispatching
@@ -60,7 +60,7 @@
         self.processes: dict[str, NodeProcess] = {}
         self._listeners: dict[str, ControlListener] = {}
         self._contexts: dict[str, contextvars.Context] = {}
-        self._hearing: dict[str, hearing.HearingClock] = {}
+        self._hearing: dict[str, active_time.ActiveClock] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._names = 0
         self._patches = [
@@ -69,7 +69,7 @@
             mock.patch.object(os, "fsync", self.disks.fsync),
             mock.patch.object(os, "replace", self.disks.replace),
             mock.patch.object(secrets, "token_hex", self._name),
-            mock.patch.object(hearing, "clock", self._hearing_clock),
+            mock.patch.object(active_time, "clock", self._hearing_clock),
         ]
         if isinstance(self.loop, SuspendingLoop):
             self.loop.on_wake = self._on_wake
@@ -141,7 +141,7 @@
             return False
         self.processes[host] = process
         if isinstance(self.loop, SuspendingLoop):
-            naming_times(process).note("m", 1)  # a version whose age is looked at
+            naming_times(process).record("m", 1)  # a version whose age is looked at
         if settings.role is NodeRole.CONTROL:
             service = process.kernel.get("replica", ReplicaService)
             self._listeners[host] = ControlListener(
@@ -182,11 +182,11 @@
         assert isinstance(self.loop, SuspendingLoop)
         return self.loop.slept_s.get(here.get(), 0.0)
 
-    def _hearing_clock(self) -> hearing.HearingClock:
+    def _hearing_clock(self) -> active_time.ActiveClock:
         """Give the clock of the host that runs now: one that stands still holds up no other."""
         host = here.get()
         if host not in self._hearing:
-            self._hearing[host] = hearing.HearingClock()
+            self._hearing[host] = active_time.ActiveClock()
         return self._hearing[host]
 
     def _on_wake(self, host: str, span_s: float) -> None:
--- a/tests/control/test_feed_server.py
+++ b/tests/control/test_feed_server.py
@@ -195,11 +195,11 @@
 class TestNamings:
     def test_are_told_once_and_again_when_more_is_known(self):
         async def work(replica: Replica, entry: Watcher, stager: Watcher) -> None:
-            replica.times.note("m", 2)
+            replica.times.record("m", 2)
             await eventually(lambda: entry.named() and stager.named(), "the naming")
             await asyncio.sleep(QUIET_S)
             assert len(entry.named()) == 1
-            replica.times.learn([VersionAge("m", 2, 5_000)])
+            replica.times.merge([VersionAge("m", 2, 5_000)])
             await eventually(lambda: len(entry.named()) == 2, "the longer age")
             assert entry.named()[-1].age_ms >= 5_000
 
--- a/tests/control/test_held_up.py
+++ b/tests/control/test_held_up.py
@@ -8,7 +8,7 @@
 
 from leadhollow.control.engine_uses import VALID_S
 from leadhollow.control.suspect_relay import SuspectRelay
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
 from tests.control.test_engine_uses import FIRST, tell, use, with_nodes
@@ -26,7 +26,7 @@
         registry.table.forget_after_s = FORGET_AFTER_S
         silent: list[str] = []
         registry.on_silence(silent.extend)
-        hearing.clock()
+        active_time.clock()
         registry.announce(an_instance(heard_s=asyncio.get_running_loop().time()))
         time.sleep(HOLD_S)
         registry._forget()
@@ -43,7 +43,7 @@
     # Guards against: a report is told as younger than it is, since its replica was held up.
     async def test_tells_true_ages(self):
         registry = a_registry(heartbeat_s=0.3)
-        hearing.clock()
+        active_time.clock()
         load = registry._take_load(a_load(active=0).record, own=True)
         time.sleep(HOLD_S)
         assert load.message(asyncio.get_running_loop().time()).age_ms >= HOLD_S * 1000
@@ -58,7 +58,7 @@
             changes: list[set[str]] = []
             one.uses.on_change(lambda engines, vm: changes.append(engines))
             time.sleep(VALID_S + 0.4)
-            await one.uses._tell(whole=True)
+            await one.uses._publish(whole=True)
             assert one.uses.total(FIRST) == use(2)
             assert changes == []
             await peers.stop()
--- a/tests/control/test_large_table.py
+++ b/tests/control/test_large_table.py
@@ -13,7 +13,7 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
 from tests.control.test_feed_server import Replica
-from tests.membership.test_packed_items import added_routes
+from tests.membership.test_packed_items import random_routes
 from tests.support import TOKEN
 
 REVISION = 9
@@ -29,7 +29,7 @@
 class TestItemNews:
     def test_is_packed_once_for_all_that_ask_for_the_same(self):
         catalog = Catalog()
-        catalog.apply(added_routes(), revision=REVISION)
+        catalog.apply(random_routes(), revision=REVISION)
         told = news(catalog)
         first = told.after(0, NodeRole.ENTRY, takes_packed=True)[1]
         assert first is not None
@@ -37,17 +37,17 @@
 
     def test_is_told_one_by_one_where_it_is_little_or_packed_is_not_understood(self):
         catalog = Catalog()
-        items = added_routes(3)
+        items = random_routes(3)
         catalog.apply(items, revision=REVISION)
         told = news(catalog)
         single = [encode_item(item) for item in items]
         assert told.after(0, NodeRole.ENTRY, takes_packed=True) == (single, None)
-        catalog.apply(added_routes(), revision=REVISION)
-        assert len(told.after(0, NodeRole.ENTRY, takes_packed=False)[0]) == len(added_routes())
+        catalog.apply(random_routes(), revision=REVISION)
+        assert len(told.after(0, NodeRole.ENTRY, takes_packed=False)[0]) == len(random_routes())
 
     def test_holds_what_a_role_wants_and_is_nothing_once_it_was_told(self):
         catalog = Catalog()
-        catalog.apply(added_routes(), revision=REVISION)
+        catalog.apply(random_routes(), revision=REVISION)
         told = news(catalog)
         assert told.after(0, NodeRole.STAGER, takes_packed=True) == ([], None)
         assert told.after(REVISION, NodeRole.ENTRY, takes_packed=True) == ([], None)
@@ -56,7 +56,7 @@
         catalog = Catalog()
         told = news(catalog)
         for revision in range(1, 3 * KEPT):
-            catalog.apply(added_routes(20, revision=revision), revision=revision)
+            catalog.apply(random_routes(20, revision=revision), revision=revision)
             told.after(0, NodeRole.ENTRY, takes_packed=True)
         assert len(told._packed) == KEPT
 
@@ -64,7 +64,7 @@
 class TestAFeed:
     async def first_update(self, *, takes_packed: bool) -> FeedUpdate:
         replica = Replica(LoopbackAddresses()("one", Listener.WIRE))
-        replica.feed._catalog.apply(added_routes(), revision=REVISION)
+        replica.feed._catalog.apply(random_routes(), revision=REVISION)
         assert (await replica.server.start()).is_ok()
         peers = PeerPool(vm="e", failure_domain="d", token=TOKEN, handlers=HandlerTable())
         connection = (await peers.connection(replica.address)).unwrap()
@@ -83,5 +83,5 @@
 
     async def test_tells_an_older_entry_all_routes_one_by_one(self):
         update = await self.first_update(takes_packed=False)
-        assert len(update.items) == len(added_routes())
+        assert len(update.items) == len(random_routes())
         assert not update.packed_items
--- a/tests/control/test_limit_relay.py
+++ b/tests/control/test_limit_relay.py
@@ -88,7 +88,7 @@
 
     async def tell(self, *, whole: bool = False) -> list[tuple[str, object]]:
         self.posts.posted = []
-        await self.relay._tell(whole=whole)
+        await self.relay._publish(whole=whole)
         return self.posts.posted
 
 
--- a/tests/control/test_registry.py
+++ b/tests/control/test_registry.py
@@ -11,8 +11,8 @@
 from leadhollow.membership.instances import InstanceState
 from leadhollow.membership.naming_times import NamingTimes
 from leadhollow.membership.reporting import (
-    REPORTS_PER_S,
-    SHORTEST_INTERVAL_S,
+    MAX_REPORTS_PER_S,
+    MIN_REPORT_INTERVAL_S,
     VALID_INTERVALS,
     report_interval_s,
 )
@@ -61,11 +61,11 @@
 
 class TestReportInterval:
     def test_stays_short_in_a_small_domain(self):
-        assert report_interval_s(10) == SHORTEST_INTERVAL_S
+        assert report_interval_s(10) == MIN_REPORT_INTERVAL_S
 
     @pytest.mark.parametrize("engines", [20, 53, 93, 650])
     def test_bounds_what_all_engines_say_together(self, engines):
-        assert engines / report_interval_s(engines) <= REPORTS_PER_S
+        assert engines / report_interval_s(engines) <= MAX_REPORTS_PER_S
 
 
 class TestReportsOfManyEngines:
--- a/tests/decide/test_engine_queue.py
+++ b/tests/decide/test_engine_queue.py
@@ -75,7 +75,7 @@
     def engine(self, name: str, *, version: int = 1, domain: str = "a", **load: int) -> Server:
         self._sequence += 1
         address = f"127.0.0.1:{9000 + len(name) + ord(name[-1])}"
-        self.table.take(
+        self.table.merge(
             Instance(
                 instance=name,
                 service="models",
@@ -233,7 +233,7 @@
             pool.engine("tried", active=0, queued=0)
             pool.engine("switching", active=0, queued=0, switching=True)
             part = pool.engine("part", active=0, queued=0)
-            half = ServedVersion(model="m", version=1, first_layer=0, end_layer=8).record()
+            half = ServedVersion(model="m", version=1, first_layer=0, end_layer=8).to_record()
             pool.report(part, active=0, queued=0, models=[half])
             found = await place(pool.queue, make_request(excluded={"tried"}))
             assert found.unwrap_err().code is Code.NO_CAPACITY
--- a/tests/forward/test_board.py
+++ b/tests/forward/test_board.py
@@ -7,7 +7,7 @@
 from leadhollow.forward.board import ServerBoard
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.wire.generated.ttypes import LoadRecord
-from tests.membership.test_instances import said
+from tests.membership.test_instances import make_instance
 
 FIRST_MS, SECOND_MS = 1_000, 2_000
 ADDRESS = "10.0.0.1:80"
@@ -22,10 +22,10 @@
         self.board = ServerBoard(table=self.table, clock=lambda: NOW_S)
         self.closed: list[str] = []
         self.board.on_new_life(self.closed.append)
-        self.table.take(said(sequence=40, born_ms=FIRST_MS))
+        self.table.merge(make_instance(sequence=40, born_ms=FIRST_MS))
 
     def start_again(self) -> None:
-        self.table.take(said(sequence=1, born_ms=SECOND_MS))
+        self.table.merge(make_instance(sequence=1, born_ms=SECOND_MS))
 
 
 @pytest.fixture
@@ -61,6 +61,6 @@
 class TestSameLife:
     def test_that_says_something_new_keeps_what_was_found_out(self, entry):
         server = entry.board.server("i-1")
-        entry.table.take(said(sequence=41, version=2, born_ms=FIRST_MS))
+        entry.table.merge(make_instance(sequence=41, version=2, born_ms=FIRST_MS))
         assert entry.board.server("i-1") is server
         assert not entry.closed
--- a/tests/forward/test_exchange.py
+++ b/tests/forward/test_exchange.py
@@ -36,10 +36,10 @@
 class Feed:
     source = ""
 
-    def on_followed(self, listener) -> None:
+    def on_full_update(self, listener) -> None:
         return
 
-    def on_rests(self, listener) -> None:
+    def on_backoffs(self, listener) -> None:
         return
 
 
@@ -96,7 +96,7 @@
             writer.close()
 
     def announce(self, instance: str, *, address: str = "") -> None:
-        self.table.take(
+        self.table.merge(
             Instance(
                 instance=instance,
                 service="s",
@@ -140,9 +140,9 @@
             asking = asyncio.create_task(bench.ask())
             await bench.pool.asked.wait()
             if gone:
-                bench.table.leave("i-1")
+                bench.table.deregister("i-1")
             else:
-                bench.table.note_leaving("i-1@0")
+                bench.table.record_leaving("i-1@0")
             bench.pool.open.set()
             failed = (await asking).unwrap_err()
             assert failed.end is AttemptEnd.WITHHELD
--- a/tests/forward/test_held_up.py
+++ b/tests/forward/test_held_up.py
@@ -9,7 +9,7 @@
 
 from leadhollow.forward.pool import ConnectionPool
 from leadhollow.http1.fetch import HttpCaller
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.settings.address import Address
 from tests.forward.test_silent_connections import ANSWER, KEPT, Client, SilentServer
 from tests.other_loop import LOOPS, OtherLoop, hold_up, run_on
@@ -56,7 +56,7 @@
     def test_reaches_a_server_that_it_connects_to(self, slow_server, loop_name):
         async def work() -> None:
             pool = ConnectionPool()
-            hearing.clock()
+            active_time.clock()
             opening = [
                 asyncio.create_task(pool.prepare(str(slow_server.address))) for _ in range(5)
             ]
@@ -96,7 +96,7 @@
             listener = await asyncio.start_server(server.serve, "127.0.0.1", 0)
             host, port = listener.sockets[0].getsockname()
             client = Client(f"{host}:{port}")
-            hearing.clock()
+            active_time.clock()
             await asyncio.gather(*(client.ask() for _ in range(KEPT)))
             server.silent_up_to = KEPT
             asked = asyncio.create_task(client.ask())
--- a/tests/forward/test_limit_keeper.py
+++ b/tests/forward/test_limit_keeper.py
@@ -55,7 +55,7 @@
         self.announce("i-1", sequence=1)
 
     def announce(self, instance: str, *, sequence: int, born_ms: int = 0) -> None:
-        self.table.take(
+        self.table.merge(
             Instance(
                 instance=instance,
                 service="s",
@@ -206,12 +206,12 @@
     def test_are_forgotten_after_a_while(self, monkeypatch):
         def work(entry: Entry) -> None:
             entry.answer(limit_per_s=2.0)
-            entry.table.leave("i-1")
-            assert entry.keeper.refreshes()
+            entry.table.deregister("i-1")
+            assert entry.keeper.needs_refresh()
             now_s = clocks.elapsed_s()
             entry.keeper._forget_old(now_s + FORGET_S / 2)
-            assert entry.keeper.refreshes()
+            assert entry.keeper.needs_refresh()
             entry.keeper._forget_old(now_s + FORGET_S + 1)
-            assert not entry.keeper.refreshes()
+            assert not entry.keeper.needs_refresh()
 
         with_entry(work)
--- a/tests/forward/test_path_probes.py
+++ b/tests/forward/test_path_probes.py
@@ -36,7 +36,7 @@
             address = LoopbackAddresses()("one", Listener.WIRE)
             table = InstanceTable(forget_after_s=60.0)
             board = ServerBoard(table=table, clock=loop.time)
-            table.take(an_instance(address))
+            table.merge(an_instance(address))
             server = board.server("i-1")
             assert server is not None
             pool = ConnectionPool()
--- a/tests/forward/test_self_report_fleet.py
+++ b/tests/forward/test_self_report_fleet.py
@@ -59,10 +59,10 @@
     def __init__(self) -> None:
         self.source = "control"
 
-    def on_followed(self, listener) -> None:
+    def on_full_update(self, listener) -> None:
         self.followed = listener
 
-    def on_rests(self, listener) -> None:
+    def on_backoffs(self, listener) -> None:
         self.rests = listener
 
 
@@ -132,13 +132,13 @@
         return f"{NAME}@{self.born_ms}"
 
     def take_leaving(self, life: str) -> None:
-        self.control.note_leaving(life)
+        self.control.record_leaving(life)
 
     def _tell_entries(self, instance: Instance) -> None:
         for entry in self.entries:
             if not entry.cut:
-                record = instance.record(asyncio.get_running_loop().time())
-                entry.table.take(Instance.from_record(record, asyncio.get_running_loop().time()))
+                record = instance.to_record(asyncio.get_running_loop().time())
+                entry.table.merge(Instance.from_record(record, asyncio.get_running_loop().time()))
 
     def _tell_rests(self, lives: set[str], vm: str) -> None:
         words: list[ServerWord] = self.relay.news(lives)
@@ -168,9 +168,9 @@
         match kind:
             case "beat":
                 self.sequence += 1
-                self.control.take(self.record(self.sequence))
+                self.control.merge(self.record(self.sequence))
             case "late beat":
-                entry.table.take(self.record(max(1, self.sequence - 1)))
+                entry.table.merge(self.record(max(1, self.sequence - 1)))
             case "restart":
                 self.born_ms += 1
                 self.sequence = 0
@@ -184,7 +184,7 @@
             case "answers":
                 entry.hear()
             case "tell":
-                await entry.reports._tell(whole=True)
+                await entry.reports._publish(whole=True)
             case "deliver":
                 arrived, self.on_their_way = self.on_their_way, []
                 for sender, words in arrived:
--- a/tests/http1/test_held_up.py
+++ b/tests/http1/test_held_up.py
@@ -12,7 +12,7 @@
 from leadhollow.http1.reply import ReplyWriter
 from leadhollow.http1.server import HttpServer
 from leadhollow.http1.server_connection import HttpLimits, IncomingRequest
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.settings.address import Address
 from tests.other_loop import LOOPS, run_on
 
@@ -31,7 +31,7 @@
         address=Address(host="127.0.0.1", port=0), handler=answer, limits=lambda: limits
     )
     assert (await server.start()).is_ok()
-    hearing.clock()
+    active_time.clock()
     return server
 
 
--- a/tests/kernel/test_hearing.py
+++ b/tests/kernel/test_active_time.py
@@ -7,8 +7,8 @@
 import pytest
 import uvloop
 
-from leadhollow.kernel import hearing
-from leadhollow.kernel.hearing import HeardTimer, deadline_at, heard_timeout, heard_wait
+from leadhollow.kernel import active_time
+from leadhollow.kernel.active_time import ActiveTimer, active_timeout, active_wait, deadline_at
 
 HOLDS_S = (0.5, 1.0)
 LOOPS = (asyncio.new_event_loop, uvloop.new_event_loop)
@@ -16,43 +16,43 @@
 
 async def settle() -> None:
     """Let the clock begin before anything is held up."""
-    hearing.clock()
-    await asyncio.sleep(hearing.TICK_S)
+    active_time.clock()
+    await asyncio.sleep(active_time.TICK_S)
 
 
 class TestHearingClock:
     async def test_goes_on_with_the_loop(self):
         await settle()
-        began_s, began_heard_s = asyncio.get_running_loop().time(), hearing.heard_s()
+        began_s, began_heard_s = asyncio.get_running_loop().time(), active_time.active_s()
         for _ in range(8):
             await asyncio.sleep(0.05)
         passed_s = asyncio.get_running_loop().time() - began_s
-        held_s = hearing.clock().held_s()
-        assert hearing.heard_s() - began_heard_s == pytest.approx(passed_s - held_s, abs=0.11)
+        held_s = active_time.clock().stalled_s()
+        assert active_time.active_s() - began_heard_s == pytest.approx(passed_s - held_s, abs=0.11)
 
     @pytest.mark.parametrize("hold_s", HOLDS_S)
     async def test_stands_still_while_the_loop_does(self, hold_s):
         await settle()
-        began_s = hearing.heard_s()
+        began_s = active_time.active_s()
         time.sleep(hold_s)
         await asyncio.sleep(0.01)
-        assert hearing.heard_s() - began_s <= hearing.LONGEST_STEP_S + 0.1
+        assert active_time.active_s() - began_s <= active_time.MAX_STEP_S + 0.1
 
     async def test_counts_holds_by_their_length(self):
         await settle()
         time.sleep(0.7)
         await asyncio.sleep(0.01)
-        clock = hearing.clock()
-        assert clock.held_s() >= 0.4
-        assert clock.holds[2] == 1  # between a half and a whole second
+        clock = active_time.clock()
+        assert clock.stalled_s() >= 0.4
+        assert clock.stall_counts[2] == 1  # between a half and a whole second
 
     async def test_never_goes_faster_than_the_loops_time(self):
         await settle()
-        began_s, began_heard_s = asyncio.get_running_loop().time(), hearing.heard_s()
+        began_s, began_heard_s = asyncio.get_running_loop().time(), active_time.active_s()
         for _ in range(4):
             time.sleep(0.15)
             await asyncio.sleep(0.02)
-        heard_s = hearing.heard_s() - began_heard_s
+        heard_s = active_time.active_s() - began_heard_s
         assert heard_s <= asyncio.get_running_loop().time() - began_s
 
     @pytest.mark.parametrize("hold_s", HOLDS_S)
@@ -60,15 +60,19 @@
         await settle()
         before_s = asyncio.get_running_loop().time()
         time.sleep(hold_s)
-        assert hearing.heard_since_s(before_s) <= hearing.LONGEST_STEP_S + 0.1
-        await asyncio.sleep(hearing.TICK_S)
+        assert active_time.active_since_s(before_s) <= active_time.MAX_STEP_S + 0.1
+        await asyncio.sleep(active_time.TICK_S)
         after_s = asyncio.get_running_loop().time()
         await asyncio.sleep(0.05)
-        assert hearing.heard_since_s(before_s) <= hearing.LONGEST_STEP_S + 0.4
-        assert 0.04 <= hearing.heard_since_s(after_s) <= asyncio.get_running_loop().time() - after_s
+        assert active_time.active_since_s(before_s) <= active_time.MAX_STEP_S + 0.4
+        assert (
+            0.04
+            <= active_time.active_since_s(after_s)
+            <= asyncio.get_running_loop().time() - after_s
+        )
 
     async def test_is_one_for_all_of_a_loop(self):
-        assert hearing.clock() is hearing.clock()
+        assert active_time.clock() is active_time.clock()
 
 
 class TestHeardTimeout:
@@ -94,7 +98,7 @@
             passed_on: asyncio.Queue[bytes] = asyncio.Queue()
             passing = asyncio.create_task(_pass_on(reader, passed_on))
             began_s = asyncio.get_running_loop().time()
-            async with heard_timeout(0.4):
+            async with active_timeout(0.4):
                 while asyncio.get_running_loop().time() - began_s < 0.3:
                     await asyncio.sleep(0.02)
                 peer.send(b"x")
@@ -109,19 +113,19 @@
             assert runner.run(wait()) == b"x"
 
     async def test_without_a_time_bounds_nothing(self):
-        async with heard_timeout(None) as limit:
+        async with active_timeout(None) as limit:
             await asyncio.sleep(0.02)
         assert not limit.expired()
 
     async def test_ends_a_wait_for_a_peer_that_is_silent(self):
         with pytest.raises(TimeoutError):
-            async with heard_timeout(0.15) as limit:
+            async with active_timeout(0.15) as limit:
                 await asyncio.sleep(5.0)
         assert limit.expired()
 
     async def test_does_not_change_a_cancellation(self):
         async def wait() -> None:
-            async with heard_timeout(5.0):
+            async with active_timeout(5.0):
                 await asyncio.sleep(5.0)
 
         task = asyncio.create_task(wait())
@@ -168,15 +172,15 @@
 class TestHeardTimer:
     async def test_calls_back_unless_cancelled(self):
         called: list[str] = []
-        HeardTimer(delay_s=0.02, callback=lambda: called.append("kept"))
-        HeardTimer(delay_s=0.02, callback=lambda: called.append("cancelled")).cancel()
+        ActiveTimer(delay_s=0.02, callback=lambda: called.append("kept"))
+        ActiveTimer(delay_s=0.02, callback=lambda: called.append("cancelled")).cancel()
         await asyncio.sleep(0.3)
         assert called == ["kept"]
 
     # Guards against: a wait for a peer never ends where each round of the loop takes long.
     async def test_calls_back_on_a_loop_that_is_always_late(self):
         called = asyncio.Event()
-        HeardTimer(delay_s=0.1, callback=called.set)
+        ActiveTimer(delay_s=0.1, callback=called.set)
         for _ in range(60):
             time.sleep(0.04)
             await asyncio.sleep(0)
@@ -187,20 +191,20 @@
     async def test_ends_with_the_first_that_is_done(self):
         quick = asyncio.create_task(asyncio.sleep(0.02))
         slow = asyncio.create_task(asyncio.sleep(5.0))
-        assert await heard_wait({quick, slow}, 3.0)
+        assert await active_wait({quick, slow}, 3.0)
         assert quick.done() and not slow.done()
         slow.cancel()
 
     async def test_lets_what_it_waits_for_go_on(self):
         slow = asyncio.create_task(asyncio.sleep(0.3))
-        assert not await heard_wait({slow}, 0.05)
+        assert not await active_wait({slow}, 0.05)
         await slow
 
     async def test_sees_what_arrived_in_a_hold(self):
         await settle()
         reader, writer, peer = await _connected()
         read = asyncio.create_task(reader.read(10))
-        waits = asyncio.create_task(heard_wait({read}, 0.4))
+        waits = asyncio.create_task(active_wait({read}, 0.4))
         await asyncio.sleep(0.05)
         peer.send(b"x")
         time.sleep(1.0)
@@ -223,5 +227,5 @@
 
 
 async def _read(reader: asyncio.StreamReader, patience_s: float) -> bytes:
-    async with heard_timeout(patience_s):
+    async with active_timeout(patience_s):
         return await reader.read(10)
--- a/tests/kernel/test_clocks.py
+++ b/tests/kernel/test_clocks.py
@@ -96,7 +96,7 @@
             catalog=catalog, times=times, bounds=Bounds(version_ms=8_000), clock=loop.time
         )
         named = NamedVersion(model="m", number=2, named=True)
-        times.note("m", 2)
+        times.record("m", 2)
         catalog.apply([CatalogItem(key="weights/m/2", revision=1, value=named)], revision=1)
         assert policy.oldest_allowed("m") == 0
         suspended[0] = SUSPENDED_S
--- a/tests/membership/test_control_feed.py
+++ b/tests/membership/test_control_feed.py
@@ -142,7 +142,7 @@
     def test_of_a_process_that_knows_nothing_stay_short(self):
         async def work() -> None:
             feed = a_feed()
-            assert max(feed.pause_s(failed) for failed in ATTEMPTS) <= LONGEST_FIRST_PAUSE_S
+            assert max(feed.retry_delay_s(failed) for failed in ATTEMPTS) <= LONGEST_FIRST_PAUSE_S
 
         asyncio.run(work())
 
@@ -150,7 +150,7 @@
         async def work() -> None:
             feed = a_feed()
             feed.ready.set()
-            pauses_s = [feed.pause_s(failed) for failed in ATTEMPTS]
+            pauses_s = [feed.retry_delay_s(failed) for failed in ATTEMPTS]
             assert pauses_s[0] < pauses_s[3]
             assert (1 - PAUSE_SPREAD) * LONGEST_PAUSE_S <= max(pauses_s) <= LONGEST_PAUSE_S
 
@@ -158,8 +158,8 @@
 
     def test_differ_between_processes(self):
         async def work() -> None:
-            first = [a_feed("one").pause_s(failed) for failed in ATTEMPTS]
-            second = [a_feed("two").pause_s(failed) for failed in ATTEMPTS]
+            first = [a_feed("one").retry_delay_s(failed) for failed in ATTEMPTS]
+            second = [a_feed("two").retry_delay_s(failed) for failed in ATTEMPTS]
             assert first != second
 
         asyncio.run(work())
--- a/tests/membership/test_entry_count.py
+++ b/tests/membership/test_entry_count.py
@@ -19,14 +19,14 @@
 
 
 def sum_of_budgets(clock: Clock, counts: list[EntryCount]) -> float:
-    budgets = [RetryBudget(bounds=Bounds(), entries=one.most, clock=clock) for one in counts]
+    budgets = [RetryBudget(bounds=Bounds(), entries=one.maximum, clock=clock) for one in counts]
     return sum(budget.remaining("s") for budget in budgets)
 
 
 def told(clock: Clock, number: int) -> list[EntryCount]:
     counts = [EntryCount(clock=clock) for _ in range(number)]
     for one in counts:
-        one.take(number)
+        one.record(number)
     return counts
 
 
@@ -39,7 +39,7 @@
         before = sum_of_budgets(clock, counts)
         clock.now_s += 2.0
         for one in counts:
-            one.take(ENTRIES // parts)
+            one.record(ENTRIES // parts)
         assert sum_of_budgets(clock, counts) <= before + 1e-6
 
     def test_do_not_when_their_replica_has_just_started(self):
@@ -49,7 +49,7 @@
         for followers in range(1, ENTRIES):
             clock.now_s += 0.01
             for one in counts:
-                one.take(followers)
+                one.record(followers)
         assert sum_of_budgets(clock, counts) <= before + 1e-6
 
 
@@ -57,11 +57,11 @@
     def test_are_forgotten_after_a_while(self):
         clock = Clock()
         count = EntryCount(clock=clock)
-        count.take(10)
+        count.record(10)
         for _ in range(20):
             clock.now_s += REMEMBERED_S / 10
-            count.take(4)
-        assert count.most() == 4
+            count.record(4)
+        assert count.maximum() == 4
 
     def test_leave_the_entry_itself(self):
-        assert EntryCount(clock=Clock()).most() == 1
+        assert EntryCount(clock=Clock()).maximum() == 1
--- a/tests/membership/test_instances.py
+++ b/tests/membership/test_instances.py
@@ -76,7 +76,7 @@
         ]
         table = InstanceTable(forget_after_s=10.0)
         for place in order:
-            table.take(calls[place])
+            table.merge(calls[place])
         found = table.get("i-1")
         assert (found.state, found.served[0].version, found.sequence) == (DRAINING, 3, 4)
 
@@ -180,7 +180,7 @@
         assert not table.take(said(sequence=2, born_ms=self.SECOND))
 
     def test_travel_with_the_record(self):
-        record = said(born_ms=self.SECOND).record(103.0)
+        record = said(born_ms=self.SECOND).to_record(103.0)
         assert Instance.from_record(record, 50.0).born_ms == self.SECOND
 
     @given(st.permutations(range(6)))
@@ -195,7 +195,7 @@
         ]
         table = InstanceTable(forget_after_s=10.0)
         for place in order:
-            table.take(calls[place])
+            table.merge(calls[place])
         known = table.get("i-1")
         assert (known.born_ms, known.sequence, known.served[0].version) == (self.SECOND, 2, 2)
 
@@ -213,7 +213,7 @@
 
 class TestMessages:
     def test_carry_ages_in_place_of_times(self):
-        record = said(heard_s=100.0).record(103.0)
+        record = said(heard_s=100.0).to_record(103.0)
         assert record.heard_age_ms == 3_000
         elsewhere = Instance.from_record(record, 50.0)
         assert elsewhere.heard_s == 47.0
--- a/tests/membership/test_leaving.py
+++ b/tests/membership/test_leaving_instances.py
@@ -55,17 +55,17 @@
     kind, born_ms, sequence = event
     match kind:
         case "ready":
-            table.take(record(born_ms=born_ms, sequence=sequence, state=InstanceState.READY))
+            table.merge(record(born_ms=born_ms, sequence=sequence, state=InstanceState.READY))
         case "draining":
-            table.take(record(born_ms=born_ms, sequence=sequence, state=InstanceState.DRAINING))
+            table.merge(record(born_ms=born_ms, sequence=sequence, state=InstanceState.DRAINING))
         case "answer":
-            table.note_leaving(f"{NAME}@{born_ms}")
+            table.record_leaving(f"{NAME}@{born_ms}")
         case "gone":
-            table.leave(NAME, born_ms=born_ms)
+            table.deregister(NAME, born_ms=born_ms)
         case "forgotten":
             table.forget(NAME)
         case "other":
-            table.take(record(born_ms=born_ms, sequence=1, state=InstanceState.READY, name="i-2"))
+            table.merge(record(born_ms=born_ms, sequence=1, state=InstanceState.READY, name="i-2"))
 
 
 class TestLeaving:
--- a/tests/membership/test_held_up.py
+++ b/tests/membership/test_loop_stalls.py
@@ -8,9 +8,9 @@
 import pytest
 from result import Ok
 
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.membership import summaries
-from leadhollow.membership.replica_choice import ReplicaChoice
+from leadhollow.membership.replica_selector import ReplicaSelector
 from leadhollow.membership.summaries import Summaries
 from leadhollow.settings.address import Address
 from leadhollow.settings.node import NodeRole, NodeSettings
@@ -51,7 +51,7 @@
                 readiness="127.0.0.1:3",
             )
             peers = PeerPool(vm="a", failure_domain="d", token=TOKEN, handlers=HandlerTable())
-            choice = ReplicaChoice(settings=settings, peers=peers, begun=lambda: True)
+            choice = ReplicaSelector(settings=settings, peers=peers, begun=lambda: True)
             choice.take([f"{address} d"])
             assert (await peers.connection(address)).is_ok()
             choosing = asyncio.create_task(choice.choose())
@@ -72,7 +72,7 @@
         monkeypatch.setattr(summaries, "CHECK_S", 0.02)
         kept = Summaries(handlers=HandlerTable())
         await kept.start()
-        hearing.clock()
+        active_time.clock()
         await kept._on_summary(DomainSummary("d", 1, [], 1, "s", 0, False), None)
         time.sleep(HOLD_S)
         await asyncio.sleep(0.1)
--- a/tests/membership/test_naming_times.py
+++ b/tests/membership/test_naming_times.py
@@ -38,29 +38,29 @@
     def test_the_longest_age_counts(self):
         clock = Clock()
         times = NamingTimes(clock=clock)
-        times.note("m", 2)
+        times.record("m", 2)
         for age_ms in (3_000, 5_000, 1_000):
-            times.learn([VersionAge("m", 2, age_ms)])
+            times.merge([VersionAge("m", 2, age_ms)])
         assert times.named_s("m", 2) == clock.now_s - 5.0
 
     def test_ages_that_travel_do_not_change_what_is_known(self):
         clock = Clock()
         here, there = NamingTimes(clock=clock), NamingTimes(clock=clock)
-        here.note("m", 2)
+        here.record("m", 2)
         clock.now_s += 2.0
-        there.learn(here.ages())
+        there.merge(here.ages())
         told = there.changes
         for _ in range(5):
             clock.now_s += 1.0
-            there.learn(here.ages())
-            here.learn(there.ages())
+            there.merge(here.ages())
+            here.merge(there.ages())
         assert there.changes == told
         assert there.named_s("m", 2) == pytest.approx(1_000.0, abs=0.01)
 
     def test_old_versions_are_forgotten(self):
         times = NamingTimes(clock=Clock())
         for number in (1, 2, 3):
-            times.note("m", number)
+            times.record("m", number)
         times.forget("m", 2)
         assert [age.version for age in times.ages()] == [2, 3]
 
@@ -76,7 +76,7 @@
         clock = Clock()
         times = NamingTimes(clock=clock)
         policy = self.policy(clock, times)
-        times.learn([VersionAge("m", 2, 5_000)])
+        times.merge([VersionAge("m", 2, 5_000)])
         name(self.catalog, 2)
         assert policy.oldest_allowed("m") == 0
         clock.now_s += VERSION_MS / 1000 - 5.0 - SEND_MARGIN_S + 0.01
--- a/tests/membership/test_suspect_news.py
+++ b/tests/membership/test_suspect_news.py
@@ -9,7 +9,7 @@
 from leadhollow.codes import Code
 from leadhollow.decide.server_ends import ServerEnd, Verdict
 from leadhollow.decide.suspects import MAX_REQUESTS_PER_END, SuspectTable
-from leadhollow.membership.suspect_news import MOST_RECORDS, encode_news, everything, take_news
+from leadhollow.membership.suspect_news import MOST_RECORDS, all_records, encode_news, merge_news
 from leadhollow.wire.generated.ttypes import ServerEnd as EndRecord
 from leadhollow.wire.generated.ttypes import SuspectNews
 from leadhollow.wire.generated.ttypes import Verdict as VerdictRecord
@@ -36,8 +36,8 @@
 class TestNews:
     def test_of_a_whole_table_make_another_one_like_it(self):
         told, other = a_full_table(), a_table()
-        news = encode_news(told, everything(told), NOW_S, address="one")
-        changed = take_news(other, news, NOW_S + 0.1).unwrap()
+        news = encode_news(told, all_records(told), NOW_S, address="one")
+        changed = merge_news(other, news, NOW_S + 0.1).unwrap()
         assert changed.lives == {"i-1@1", "i-2@1"}
         assert changed.fingerprints == {BAD}
         assert other.checksum() == told.checksum() == news.mark
@@ -48,15 +48,15 @@
 
     def test_that_are_known_change_nothing(self):
         told, other = a_full_table(), a_table()
-        news = encode_news(told, everything(told), NOW_S)
-        take_news(other, news, NOW_S)
-        assert not take_news(other, news, NOW_S).unwrap()
+        news = encode_news(told, all_records(told), NOW_S)
+        merge_news(other, news, NOW_S)
+        assert not merge_news(other, news, NOW_S).unwrap()
 
     def test_of_one_end_under_sixteen_requests_take_half_a_kilobyte(self):
         table = a_table()
         ran = [bytes([number]) * 16 for number in range(16)]
         table.merge_end(ServerEnd(life="i-0123456789@1764736000000", ran=ran, happened_s=NOW_S))
-        news = encode_news(table, everything(table), NOW_S)
+        news = encode_news(table, all_records(table), NOW_S)
         assert len(serialize(news, TCompactProtocolAcceleratedFactory())) < 400
 
     @pytest.mark.parametrize(
@@ -77,10 +77,10 @@
         table = a_full_table()
         before = table.checksum()
         news.verdicts = [*(news.verdicts or ()), VerdictRecord(GOOD, 9, False, [], 0)]
-        refused = take_news(table, news, NOW_S)
+        refused = merge_news(table, news, NOW_S)
         assert refused.unwrap_err().code is Code.FRAME_MALFORMED
         assert table.checksum() == before
         assert not table.is_quarantined(GOOD)
 
     def test_without_fields_say_nothing(self):
-        assert not take_news(a_table(), SuspectNews(), NOW_S).unwrap()
+        assert not merge_news(a_table(), SuspectNews(), NOW_S).unwrap()
--- a/tests/membership/test_unnamed.py
+++ b/tests/membership/test_unnamed.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from leadhollow.membership.instance_table import InstanceTable
-from leadhollow.membership.unnamed import UnnamedInstances
+from leadhollow.membership.unlisted_instances import UnlistedInstances
 from tests.membership.test_instances import said
 
 FORGET_AFTER_S = 10.0
@@ -19,13 +19,13 @@
 def table():
     found = InstanceTable(forget_after_s=FORGET_AFTER_S)
     for number, name in enumerate(NAMES):
-        found.take(said(name, address=f"10.0.0.{number}:80", heard_s=0.0))
+        found.merge(said(name, address=f"10.0.0.{number}:80", heard_s=0.0))
     return found
 
 
 @pytest.fixture
 def unnamed(table):
-    return UnnamedInstances(table=table)
+    return UnlistedInstances(table=table)
 
 
 def known(table: InstanceTable) -> list[str]:
@@ -93,8 +93,8 @@
     def test_only_who_was_taken_back_or_left_out_is_dropped(self, updates):
         table = InstanceTable(forget_after_s=FORGET_AFTER_S)
         for number, name in enumerate(NAMES):
-            table.take(said(name, address=f"10.0.0.{number}:80", heard_s=0.0))
-        unnamed = UnnamedInstances(table=table)
+            table.merge(said(name, address=f"10.0.0.{number}:80", heard_s=0.0))
+        unnamed = UnlistedInstances(table=table)
         heard = set(NAMES)  # by the replica, as an observer of the updates knows it
         for kind, names in updates:
             if kind == "silent":
--- a/tests/node/test_wakes.py
+++ b/tests/node/test_wakes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from leadhollow.decide.engine_queue import EngineQueue
-from leadhollow.membership.reporting import SHORTEST_INTERVAL_S, report_interval_s
+from leadhollow.membership.reporting import MIN_REPORT_INTERVAL_S, report_interval_s
 from leadhollow.node import entry_role
 from leadhollow.node.entry_role import Dispatching
 from leadhollow.staging.link_gauge import INTERVAL_S, PROBES_PER_S, LinkGauge
@@ -20,7 +20,7 @@
 
 class TestAStager:
     def test_asks_its_engine_ten_times_a_second_in_a_small_fleet(self):
-        assert ask_interval_s(SHORTEST_INTERVAL_S) == 0.1
+        assert ask_interval_s(MIN_REPORT_INTERVAL_S) == 0.1
 
     @pytest.mark.parametrize("engines", [41, 102, 300])
     def test_asks_it_the_rarer_the_more_engines_there_are(self, engines):
--- a/tests/other_loop.py
+++ b/tests/other_loop.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 
 LOOPS = {"asyncio": asyncio.new_event_loop, "uvloop": uvloop.new_event_loop}
 
@@ -45,7 +45,7 @@
 
 async def hold_up(hold_s: float, *, after_s: float = 0.02) -> None:
     """Keep the running loop from going round for a time, in a callback of its own."""
-    hearing.clock()
+    active_time.clock()
     asyncio.get_running_loop().call_later(after_s, time.sleep, hold_s)
     await asyncio.sleep(after_s + hold_s)
 
--- a/tests/staging/test_held_up.py
+++ b/tests/staging/test_held_up.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.settings.deployment import Listener, LoopbackAddresses
 from leadhollow.staging.link_gauge import SLOW_S, LinkGauge
 from leadhollow.staging.piece_source import PieceSource
@@ -53,7 +53,7 @@
     async def test_takes_its_link_for_no_slower(self):
         peers = SlowPeers()
         gauge = LinkGauge(feed=FollowedFeed(), peers=peers, vm="v")
-        hearing.clock()
+        active_time.clock()
         await gauge.start()
         await asyncio.wait_for(peers.asked.wait(), 2)
         time.sleep(SLOW_S + 1.0)
--- a/tests/staging/test_installer.py
+++ b/tests/staging/test_installer.py
@@ -273,7 +273,7 @@
         async def work() -> None:
             bench = Bench(served=holding(1), version_s=SWITCH_LEAD_S + 0.3, absent=(3,))
             for number in (2, 3):
-                bench.times.note("m", number)
+                bench.times.record("m", number)
                 bench.name(number)
             await bench.until_ordered()
             assert [order.version for order in bench.engine.orders] == [2]
--- a/tests/staging/test_load_reports.py
+++ b/tests/staging/test_load_reports.py
@@ -83,7 +83,7 @@
             heard_s=asyncio.get_running_loop().time(),
             born_ms=born_ms,
         )
-        self.feed.table.take(instance)
+        self.feed.table.merge(instance)
 
     async def told(self) -> list[type]:
         self.peers.sent.clear()
--- a/tests/state/test_held_up.py
+++ b/tests/state/test_held_up.py
@@ -8,7 +8,7 @@
 import pytest
 from result import Ok
 
-from leadhollow.kernel import hearing
+from leadhollow.kernel import active_time
 from leadhollow.state.disk_thread import DiskThread
 from leadhollow.state.leadership import DISK_STALL_S
 from leadhollow.state.replica import ReplicaRole
@@ -122,7 +122,7 @@
     # Guards against: a disk counts as hanging for time in which its answer was not taken.
     async def test_is_not_busy_for_a_hold(self):
         disk = DiskThread()
-        hearing.clock()
+        active_time.clock()
         work = asyncio.create_task(disk.run(lambda: time.sleep(0.01)))
         await asyncio.sleep(0)
         time.sleep(HOLD_S)
