--- a/src/leadhollow/control/__init__.py
+++ b/src/leadhollow/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control process: replica of the log, backend servers that announce themselves, feeds."""
+"""Services of a control replica: replicated state, registry of backend servers, feeds."""
--- a/src/leadhollow/control/api.py
+++ b/src/leadhollow/control/api.py
@@ -1,4 +1,8 @@
-"""What operators and backend servers ask of a control replica, in the product's own terms."""
+"""Requests and responses of the control API, independent of their HTTP encoding.
+
+Operators and backend servers send these requests to a control replica. A :class:`ControlDialect`
+translates them from and to HTTP.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +18,12 @@
 
 
 class PutRouteTable:
-    """An operator puts a whole route table in force.
+    """Request of an operator to replace the route table.
 
     Parameters
     ----------
     source
-        The document as it was sent; it is given back when the table is read.
+        The document as the operator sent it; :class:`GetRouteTable` returns it unchanged.
     """
 
     __slots__ = ("source", "table")
@@ -30,13 +34,13 @@
 
 
 class GetRouteTable:
-    """Somebody reads the route table in force."""
+    """Request for the route table in force."""
 
     __slots__ = ()
 
 
 class NameWeightsVersion:
-    """An operator names a version of a model's weights."""
+    """Request of an operator to name a new version of a model's weights."""
 
     __slots__ = ("model", "number")
 
@@ -46,7 +50,7 @@
 
 
 class Announce:
-    """A backend server says that it is there."""
+    """Announcement of a backend server, repeated as its heartbeat."""
 
     __slots__ = ("instance",)
 
@@ -55,12 +59,12 @@
 
 
 class Deregister:
-    """A backend server says that it goes.
+    """Request of a backend server to be removed from the registry.
 
     Parameters
     ----------
     born_ms
-        When the life that ends began; 0 where it does not say.
+        Start time of the life that ends, in milliseconds of the server's clock; 0 if not given.
     """
 
     __slots__ = ("born_ms", "instance")
@@ -74,7 +78,7 @@
 
 
 class ControlResponse:
-    """An answer as it goes on the wire."""
+    """HTTP response to a control request."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -85,42 +89,42 @@
 
 
 class ControlDialect(Protocol):
-    """How control calls and their answers look on the wire."""
+    """HTTP encoding of control requests and responses."""
 
     def parse_request(
         self, head: RequestHead, body: bytes, now_s: float
     ) -> Result[ControlRequest, Failure]:
-        """Decode a call.
+        """Decode a request.
 
         Errors
         ------
         REQUEST_MALFORMED
-            There is no such call.
+            The API has no such request.
         TABLE_UNREADABLE, TABLE_INVALID, VERSION_MALFORMED
-            The operator's document is wrong.
+            The document of the operator is invalid.
         """
         ...
 
     def accepted_response(self) -> ControlResponse:
-        """Give the answer to a call that was carried out."""
+        """Return the response to a request that succeeded."""
         ...
 
     def document_response(self, source: bytes) -> ControlResponse:
-        """Give the answer that carries the route table in force."""
+        """Return the response that contains the route table in force."""
         ...
 
     def error_response(self, failure: Failure) -> ControlResponse:
-        """Give the answer to a call that was not carried out."""
+        """Return the response to a request that failed."""
         ...
 
 
 __all__ = [
     "Announce",
-    "ControlAnswer",
-    "ControlCall",
     "ControlDialect",
-    "Depart",
-    "NameWeights",
-    "PutTable",
-    "ReadTable",
+    "ControlRequest",
+    "ControlResponse",
+    "Deregister",
+    "GetRouteTable",
+    "NameWeightsVersion",
+    "PutRouteTable",
 ]
--- a/src/leadhollow/control/catalog_delta.py
+++ b/src/leadhollow/control/catalog_delta.py
@@ -1,4 +1,4 @@
-"""What is new in the catalog, encoded once for all watchers that ask for the same."""
+"""Encodes catalog changes for feeds, once for all subscribers that need the same delta."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from leadhollow.state.catalog import Catalog, encode_item
 from leadhollow.state.records import CatalogItem
 
-KEPT = 8  # encodings; watchers lag by a few changes at most
+MAX_CACHED_DELTAS = 8  # subscribers lag behind by a few revisions at most
 
 
 class CatalogDeltaEncoder:
-    """Items newer than a revision, as watchers of a role take them.
+    """Encodes the catalog items that a role needs and that are newer than a revision.
 
     Parameters
     ----------
     wants
-        Tells whether an item concerns watchers of a role.
+        Returns whether subscribers of a role need an item.
     """
 
     __slots__ = ("_catalog", "_packed", "_wants")
@@ -32,12 +32,17 @@
     def encode_after(
         self, revision: int, role: NodeRole, *, takes_packed: bool
     ) -> tuple[list[bytes], bytes | None]:
-        """Give single items, or all of them packed.
+        """Encode the items after a revision, one by one or packed together.
 
         Parameters
         ----------
         takes_packed
-            Whether the watcher understands packed items.
+            Whether the subscriber supports packed items.
+
+        Returns
+        -------
+        tuple
+            Items encoded one by one, and the packed items or None.
         """
         if revision >= self._catalog.revision:
             return [], None
@@ -45,13 +50,13 @@
         packed = self._packed.get(key) if takes_packed else None
         if packed is not None:
             return [], packed
-        newer = [found for found in self._catalog.items_after(revision) if self._wants(role, found)]
-        if not takes_packed or len(newer) < MIN_PACKED_ITEMS:
+        newer = [each for each in self._catalog.items_after(revision) if self._wants(role, each)]
+        if not takes_packed or len(newer) < FEWEST:
             return [encode_item(item) for item in newer], None
         packed = self._packed[key] = pack_items(newer)
-        if len(self._packed) > KEPT:
+        if len(self._packed) > MAX_CACHED_DELTAS:
             self._packed.popitem(last=False)
         return [], packed
 
 
-__all__ = ["KEPT", "ItemNews"]
+__all__ = ["MAX_CACHED_DELTAS", "CatalogDeltaEncoder"]
--- a/src/leadhollow/control/control_listener.py
+++ b/src/leadhollow/control/control_listener.py
@@ -1,4 +1,4 @@
-"""Listener of a control replica for operators and for backend servers that announce themselves."""
+"""HTTP listener of a control replica, for operators and for announcements of backend servers."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 from leadhollow.state.replica import Replica
 from leadhollow.state.route_tables import replacement
 
-COMMIT_TIMEOUT_S = 0.9  # operators ask another replica after a second
+COMMIT_TIMEOUT_S = 0.9  # clients of operators try another replica after 1 s
 CONFIRM_TIMEOUT_S = 0.8
-LARGEST_BODY_BYTES = 16 * 1024 * 1024
-STOP_WAIT_S = 1.0
+MAX_BODY_BYTES = 16 * 1024 * 1024
+DRAIN_TIMEOUT_S = 1.0
 
 log = get_logger("operators")
 
 
 class ControlListener:
-    """Answers control calls; every replica does, whoever leads."""
+    """Serves control requests on every replica, whether it leads or not."""
 
     __slots__ = ("_dialect", "_gateway", "_registry", "_replica", "_server")
 
@@ -55,7 +55,7 @@
         self._replica = replica
         self._gateway = gateway
         self._registry = registry
-        limits = HttpLimits(body_bytes=LARGEST_BODY_BYTES, header_timeout_ms=10_000)
+        limits = HttpLimits(body_bytes=MAX_BODY_BYTES, header_timeout_ms=10_000)
         self._server = HttpServer(address=address, handler=self._handle, limits=lambda: limits)
 
     async def start(self) -> Result[None, Failure]:
@@ -63,45 +63,45 @@
         return await self._server.start()
 
     async def drain(self) -> None:
-        """Finish the calls in progress."""
+        """Announce that connections close, and wait for requests in progress."""
         self._server.announce_close()
-        await self._server.wait_idle(asyncio.get_running_loop().time() + STOP_WAIT_S)
+        await self._server.wait_idle(asyncio.get_running_loop().time() + DRAIN_TIMEOUT_S)
 
     async def stop(self) -> None:
         """Close the listener."""
         await self._server.stop()
 
     async def _handle(self, request: IncomingRequest, reply: ReplyWriter) -> None:
-        read = await request.body.read_whole(LARGEST_BODY_BYTES)
-        if read.is_err():
-            await self._send(reply, self._dialect.error_response(read.unwrap_err()))
+        body = await request.body.read_whole(MAX_BODY_BYTES)
+        if body.is_err():
+            await self._send(reply, self._dialect.error_response(body.unwrap_err()))
             return
         now_s = asyncio.get_running_loop().time()
-        call = self._dialect.parse_request(request.head, read.unwrap(), now_s)
-        if call.is_err():
-            failure = call.unwrap_err()
-            log.warning("call refused", path=request.head.path, failure=str(failure))
+        parsed = self._dialect.parse_request(request.head, body.unwrap(), now_s)
+        if parsed.is_err():
+            failure = parsed.unwrap_err()
+            log.warning("control request rejected", path=request.head.path, failure=str(failure))
             await self._send(reply, self._dialect.error_response(failure))
             return
-        await self._send(reply, await self._execute(call.unwrap()))
+        await self._send(reply, await self._execute(parsed.unwrap()))
 
-    async def _execute(self, call: ControlRequest) -> ControlResponse:
-        match call:
+    async def _execute(self, request: ControlRequest) -> ControlResponse:
+        match request:
             case PutRouteTable():
-                command = replacement(call.table, call.source)
-                return await self._propose(command, what="route table", number=call.table.number)
+                command = replacement(request.table, request.source)
+                return await self._propose(command, what="route table", number=request.table.number)
             case NameWeightsVersion():
                 return await self._propose(
-                    NameVersion(model=call.model, number=call.number),
-                    what=f"weights of {call.model}",
-                    number=call.number,
+                    NameVersion(model=request.model, number=request.number),
+                    what=f"weights of {request.model}",
+                    number=request.number,
                 )
             case GetRouteTable():
-                return await self._read_table()
+                return await self._get_route_table()
             case Announce():
-                self._registry.announce(call.instance)
+                self._registry.announce(request.instance)
             case Deregister():
-                self._registry.deregister(call.instance, born_ms=call.born_ms)
+                self._registry.deregister(request.instance, born_ms=request.born_ms)
         return self._dialect.accepted_response()
 
     async def _propose(self, command: Command, *, what: str, number: int) -> ControlResponse:
@@ -113,7 +113,7 @@
         log.info("order acknowledged", what=what, number=number)
         return self._dialect.accepted_response()
 
-    async def _read_table(self) -> ControlResponse:
+    async def _get_route_table(self) -> ControlResponse:
         confirmed = await self._gateway.confirm(timeout_s=CONFIRM_TIMEOUT_S)
         if confirmed.is_err():
             return self._dialect.error_response(confirmed.unwrap_err())
@@ -124,8 +124,8 @@
             )
         return self._dialect.document_response(source)
 
-    async def _send(self, reply: ReplyWriter, answer: ControlResponse) -> None:
-        await reply.send(answer.status, answer.headers, answer.body)
+    async def _send(self, reply: ReplyWriter, response: ControlResponse) -> None:
+        await reply.send(response.status, response.headers, response.body)
 
 
 __all__ = ["ControlListener"]
--- a/src/leadhollow/control/entry_updates.py
+++ b/src/leadhollow/control/entry_updates.py
@@ -1,4 +1,8 @@
-"""What entries alone are told: uses, decisions, suspects, limits with their shares, and rests."""
+"""Fields of feed updates that only entries get.
+
+These are the use of engines, decisions on requests, suspects, rate limits with the leased shares,
+and back-offs of backend servers.
+"""
 
 from __future__ import annotations
 
@@ -21,16 +25,16 @@
     SuspectNews,
 )
 
-DECISIONS_PAUSE_S = 0.1  # what was refused is told again after it, with whatever is told then
+DECISIONS_INTERVAL_S = 0.1  # minimum time between two updates that contain decisions
 
 
 class EntryUpdateBuilder:
-    """Notes for each entry what it has not been told yet, and puts it into its updates.
+    """Records pending changes for each entry and writes them to its feed updates.
 
     Parameters
     ----------
     entries
-        Gives the entries that watch this replica.
+        Returns the entries that subscribe to this replica.
     """
 
     __slots__ = ("_entries", "_limits", "_registry", "_self_reports", "_suspects", "_uses")
@@ -53,57 +57,57 @@
         self._self_reports = self_reports
         uses.on_change(self._on_uses)
         suspects.on_change(self._on_suspects)
-        self_reports.on_change(self._on_rests)
+        self_reports.on_change(self._on_backoffs)
         limits.set_listeners(
-            on_limits=self._on_limits, on_lease=self._on_lease, on_behind=self._on_behind
+            on_limits=self._on_limits, on_lease=self._on_lease, on_stale_entry=self._on_stale_entry
         )
 
     def mark_everything_pending(self, entry: Subscriber) -> None:
-        """Have an entry told all that is known."""
+        """Include everything that is known in the next update of an entry."""
         entry.uses.add(self._uses.engines(), (), _now_s())
-        entry.suspects = all_records(self._suspects.table)
+        entry.suspects = everything(self._suspects.table)
         entry.limits = self._limits.known_lives()
-        entry.rests = self._self_reports.lives_in_backoff()
+        entry.backoffs = self._self_reports.lives_in_backoff()
 
     def fill(self, update: FeedUpdate, entry: Subscriber, now_s: float) -> None:
-        """Put into an update what its entry has not been told yet."""
-        update.engines, update.packed_uses = self._news_of_uses(entry, now_s)
-        update.decisions = self._news_of_decisions(entry, now_s)
-        update.suspects = self._news_of_suspects(entry, now_s)
-        update.limits = self._news_of_limits(entry)
+        """Write the pending changes of an entry to an update and clear them."""
+        update.engines, update.packed_uses = self._use_fields(entry, now_s)
+        update.decisions = self._decisions_field(entry, now_s)
+        update.suspects = self._suspects_field(entry, now_s)
+        update.limits = self._limits_field(entry)
         update.limit_lease = self._take_lease(entry)
-        lives, entry.rests = entry.rests, set()
+        lives, entry.backoffs = entry.backoffs, set()
         update.rests = self._self_reports.encode_backoffs(lives) or None
 
     def remove_entry(self, vm: str) -> None:
-        """Forget what an entry told that watches no more."""
+        """Drop the reports of an entry that does not subscribe any more."""
         self._uses.remove_entry(vm)
 
-    def _news_of_uses(self, entry: Subscriber, now_s: float) -> tuple[list[str], bytes]:
-        """Give what other entries have at engines, where that changed."""
+    def _use_fields(self, entry: Subscriber, now_s: float) -> tuple[list[str], bytes]:
+        """Return engines and packed uses of other entries, for the engines where these changed."""
 
         def use_of(address: str) -> Use:
             return self._uses.total(address, excluding=entry.vm)
 
         return entry.uses.take(use_of, now_s)
 
-    def _news_of_decisions(self, entry: Subscriber, now_s: float) -> list[ServiceDecisions] | None:
-        """Give what other entries refused lately, unless that was told a moment ago."""
-        if now_s - entry.decisions_s < DECISIONS_PAUSE_S:
+    def _decisions_field(self, entry: Subscriber, now_s: float) -> list[ServiceDecisions] | None:
+        """Return recent decisions of other entries, None if they were sent just before."""
+        if now_s - entry.decisions_s < DECISIONS_INTERVAL_S:
             return None
         entry.decisions_s = now_s
         return encode_decisions(self._uses.decisions(excluding=entry.vm)) or None
 
-    def _news_of_suspects(self, entry: Subscriber, now_s: float) -> SuspectNews | None:
-        """Give what is known of requests that end servers, where that changed."""
-        mark = self._suspects.table.checksum()
-        if not entry.suspects and mark == entry.suspects_mark:
+    def _suspects_field(self, entry: Subscriber, now_s: float) -> SuspectNews | None:
+        """Return changes of the suspect table, None if there are none."""
+        checksum = self._suspects.table.checksum()
+        if not entry.suspects and checksum == entry.suspects_checksum:
             return None
-        entry.suspects_mark = mark
+        entry.suspects_checksum = checksum
         return encode_news(self._suspects.table, entry.suspects.pop_all(), now_s)
 
-    def _news_of_limits(self, entry: Subscriber) -> LimitNews | None:
-        """Give what is known of servers' limits, where that changed or shares are leased."""
+    def _limits_field(self, entry: Subscriber) -> LimitNews | None:
+        """Return changed rate limits of servers; None if there are none and no lease is pending."""
         if not self._limits.table or (not entry.limits and entry.limit_lease is None):
             return None
         lives, entry.limits = entry.limits, set()
@@ -114,15 +118,15 @@
         return lease
 
     def _on_uses(self, engines: set[str], vm: str) -> None:
-        inside: dict[str, set[str]] = {}
+        by_domain: dict[str, set[str]] = {}
         for address in engines:
-            inside.setdefault(self._domain_of(address), set()).add(address)
-        nothing: set[str] = set()
+            by_domain.setdefault(self._domain_of(address), set()).add(address)
+        no_engines: set[str] = set()
         now_s = _now_s()
         for entry in self._entries():
             if entry.vm != vm:
-                near = inside.get(entry.domain, nothing)
-                entry.add_use_changes(near, engines - near, now_s)
+                local = by_domain.get(entry.domain, no_engines)
+                entry.add_use_changes(local, engines - local, now_s)
 
     def _domain_of(self, address: str) -> str:
         instance = self._registry.table.at_address(address)
@@ -133,10 +137,10 @@
             entry.suspects.merge(changed)
             entry.schedule(_now_s())
 
-    def _on_rests(self, lives: set[str], vm: str) -> None:
+    def _on_backoffs(self, lives: set[str], vm: str) -> None:
         for entry in self._entries():
             if entry.vm != vm:
-                entry.rests |= lives
+                entry.backoffs |= lives
                 entry.schedule(_now_s())
 
     def _on_limits(self, lives: set[str]) -> None:
@@ -150,7 +154,7 @@
                 entry.limit_lease = lease
                 entry.schedule(_now_s())
 
-    def _on_behind(self, vm: str) -> None:
+    def _on_stale_entry(self, vm: str) -> None:
         for entry in self._entries():
             if entry.vm == vm:
                 entry.limits |= self._limits.known_lives()
@@ -161,4 +165,4 @@
     return asyncio.get_running_loop().time()
 
 
-__all__ = ["EntryNews"]
+__all__ = ["EntryUpdateBuilder"]
--- a/src/leadhollow/control/feed_server.py
+++ b/src/leadhollow/control/feed_server.py
@@ -1,4 +1,7 @@
-"""Tells entries and stagers what changes: catalog, backend servers, loads, other replicas."""
+"""Feeds of a control replica, which send changed state to entries and stagers.
+
+Updates contain the catalog, backend servers, loads, other replicas and, for entries, further state.
+"""
 
 from __future__ import annotations
 
@@ -36,10 +39,12 @@
 from leadhollow.wire.streams import StreamSink
 
 HEARTBEAT_S = {NodeRole.ENTRY: 0.25, NodeRole.STAGER: 0.7}
-"""A watcher gives a feed up that says nothing for 0.9 s, a stager after 2.5 s."""
+"""An entry abandons a feed that is silent for 0.9 s, a stager one that is silent for 2.5 s."""
+
+LOAD_BATCH_WINDOW_S = {NodeRole.ENTRY: 0.06, NodeRole.STAGER: 0.1}
+"""Loads within it are sent in one update."""
 
-LOAD_PAUSE_S = {NodeRole.ENTRY: 0.06, NodeRole.STAGER: 0.1}  # loads within it travel together
-REPLICAS_VALID_S = 0.1  # for so long the list of replicas stays as it was found
+REPLICAS_VALID_S = 0.1  # how long the list of replicas is cached
 log = get_logger("feed")
 
 
@@ -49,21 +54,21 @@
     Parameters
     ----------
     replicas
-        Gives address and failure domain of all replicas, separated by a blank.
+        Returns address and failure domain of each replica, separated by a space.
     naming_times
         When versions were named.
     """
 
     __slots__ = (
+        "_cached_replicas",
         "_catalog",
+        "_catalog_deltas",
         "_confirmation",
-        "_entry_news",
-        "_item_news",
-        "_known_replicas",
+        "_entry_updates",
         "_naming_times",
         "_registry",
         "_replicas",
-        "_replicas_s",
+        "_replicas_cached_s",
         "_subscribers",
     )
 
@@ -73,7 +78,7 @@
         catalog: Catalog,
         registry: Registry,
         uses: UseAggregator,
-        confirmation: Confirmation,
+        confirmation: ConfirmationMonitor,
         replicas: Callable[[], list[str]],
         handlers: HandlerTable,
         naming_times: NamingTimes,
@@ -82,16 +87,16 @@
         self_reports: SelfReportRelay,
     ) -> None:
         self._catalog = catalog
-        self._item_news = CatalogDeltaEncoder(catalog=catalog, wants=wants)
+        self._catalog_deltas = CatalogDeltaEncoder(catalog=catalog, wants=wants)
         self._registry = registry
         self._confirmation = confirmation
         self._replicas = replicas
-        self._known_replicas: list[str] = []
-        self._replicas_s = -math.inf
+        self._cached_replicas: list[str] = []
+        self._replicas_cached_s = -math.inf
         self._naming_times = naming_times
         self._subscribers: set[Subscriber] = set()
-        self._entry_news = EntryUpdateBuilder(
-            entries=self._entries,
+        self._entry_updates = EntryUpdateBuilder(
+            entries=self._entry_subscribers,
             registry=registry,
             uses=uses,
             suspects=suspects,
@@ -101,19 +106,19 @@
         catalog.on_change(self._on_catalog)
         registry.on_change(self._on_registry)
         registry.on_silence(self._on_silence)
-        confirmation.on_found(self._wake_all)
+        confirmation.on_quorum_regained(self._notify_all)
         handlers.on_stream(FeedWatch, self._on_watch)
         handlers.on_call(FeedProbe, self._on_probe)
 
     async def start(self) -> Result[None, Failure]:
-        """Nothing to begin."""
+        """Do nothing; feeds start when subscribers connect."""
         return Ok(None)
 
     async def drain(self) -> None:
-        """Watchers move on when the connection ends."""
+        """Do nothing; subscribers switch to another replica when the connection closes."""
 
     async def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing; feeds end with their connections."""
 
     async def _on_probe(
         self, request: FeedProbe, connection: Connection
@@ -133,26 +138,26 @@
             takes_packed=bool(request.takes_packed),
         )
         self._subscribers.add(subscriber)
-        log.info("watcher found", vm=request.vm, role=request.role)
-        self._count_entries()
+        log.info("subscriber connected", vm=request.vm, role=request.role)
+        self._update_entry_count()
         try:
-            await sink.send(self._whole(subscriber))
+            await sink.send(self._full_update(subscriber))
             while True:
                 await subscriber.wait(HEARTBEAT_S[role])
                 await sink.send(self._delta(subscriber))
         finally:
             self._subscribers.discard(subscriber)
-            self._entry_news.remove_entry(request.vm)
-            self._count_entries()
-            log.info("watcher lost", vm=request.vm, role=request.role)
+            self._entry_updates.remove_entry(request.vm)
+            self._update_entry_count()
+            log.info("subscriber disconnected", vm=request.vm, role=request.role)
 
-    def _whole(self, subscriber: Subscriber) -> FeedUpdate:
+    def _full_update(self, subscriber: Subscriber) -> FeedUpdate:
         table = self._registry.table
         known = [*table.instances(), *table.deregistered()]
-        subscriber.instances = {found.instance: found for found in known}
+        subscriber.instances = {instance.instance: instance for instance in known}
         subscriber.loads = {load.record.address: load for load in self._registry.loads()}
         if subscriber.role is NodeRole.ENTRY:
-            self._entry_news.mark_everything_pending(subscriber)
+            self._entry_updates.mark_everything_pending(subscriber)
         update = self._delta(subscriber)
         update.whole = True
         return update
@@ -160,15 +165,15 @@
     def _delta(self, subscriber: Subscriber) -> FeedUpdate:
         subscriber.mark_sent()
         now_s = asyncio.get_running_loop().time()
-        items, packed_items = self._item_news.encode_after(
+        items, packed_items = self._catalog_deltas.encode_after(
             subscriber.sent_revision, subscriber.role, takes_packed=subscriber.takes_packed
         )
         subscriber.sent_revision = max(subscriber.sent_revision, self._catalog.revision)
-        replicas = self._replicas_now(now_s)
-        news = replicas if replicas != subscriber.sent_replicas else None
+        replicas = self._get_replicas(now_s)
+        changed_replicas = replicas if replicas != subscriber.sent_replicas else None
         subscriber.sent_replicas = replicas
-        instances = [found.to_record(now_s) for found in subscriber.instances.values()]
-        loads = [load.message(now_s) for load in subscriber.loads.values()]
+        instances = [instance.to_record(now_s) for instance in subscriber.instances.values()]
+        loads = [load.to_record(now_s) for load in subscriber.loads.values()]
         silent, subscriber.silent = sorted(subscriber.silent), set()
         subscriber.instances = {}
         subscriber.loads = {}
@@ -184,33 +189,33 @@
             confirmed_age_ms=confirmed_ms,
             instances=instances,
             loads=loads,
-            replicas=news,
+            replicas=changed_replicas,
             entries=self._registry.live_entries(),
             whole=False,
             named=named,
             silent=silent or None,
         )
         if subscriber.role is NodeRole.ENTRY:
-            self._entry_news.fill(update, subscriber, now_s)
+            self._entry_updates.fill(update, subscriber, now_s)
         return update
 
-    def _replicas_now(self, now_s: float) -> list[str]:
-        """Give all replicas; they hardly change, and each watcher is told often."""
-        if now_s - self._replicas_s > REPLICAS_VALID_S:
-            self._replicas_s = now_s
-            self._known_replicas = self._replicas()
-        return self._known_replicas
+    def _get_replicas(self, now_s: float) -> list[str]:
+        """Return all replicas, cached because they rarely change and every update needs them."""
+        if now_s - self._replicas_cached_s > REPLICAS_VALID_S:
+            self._replicas_cached_s = now_s
+            self._cached_replicas = self._replicas()
+        return self._cached_replicas
 
     def _on_catalog(self, items: list[CatalogItem]) -> None:
         for subscriber in self._subscribers:
             if any(wants(subscriber.role, item) for item in items):
                 subscriber.schedule(_now_s())
 
-    def _on_registry(self, instances: list[Instance], loads: list[Load]) -> None:
+    def _on_registry(self, instances: list[Instance], loads: list[ReportedLoad]) -> None:
         now_s = _now_s()
-        standings = [load for load in loads if load.news]
+        weights_changes = [load for load in loads if load.weights_changed]
         for subscriber in self._subscribers:
-            wanted = loads if subscriber.role is NodeRole.ENTRY else standings
+            wanted = loads if subscriber.role is NodeRole.ENTRY else weights_changes
             if not instances and not wanted:
                 continue
             for instance in instances:
@@ -218,27 +223,27 @@
                 subscriber.silent.discard(instance.instance)
             for load in wanted:
                 subscriber.loads[load.record.address] = load
-            pause_s = 0.0 if instances else LOAD_PAUSE_S[subscriber.role]
-            subscriber.schedule(now_s + pause_s)
+            window_s = 0.0 if instances else LOAD_BATCH_WINDOW_S[subscriber.role]
+            subscriber.schedule(now_s + window_s)
 
     def _on_silence(self, silent: list[str]) -> None:
-        """Take back that these are heard: watchers are told of changes only."""
+        """Drop pending records of servers that became silent, and report these as silent."""
         for subscriber in self._subscribers:
             for instance in silent:
                 subscriber.instances.pop(instance, None)
                 subscriber.silent.add(instance)
             subscriber.schedule(_now_s())
 
-    def _wake_all(self) -> None:
-        """Tell every watcher at once that a majority confirms what it was told."""
+    def _notify_all(self) -> None:
+        """Send every subscriber an update now that a majority confirms this replica again."""
         for subscriber in self._subscribers:
             subscriber.schedule(_now_s())
 
-    def _entries(self) -> list[Subscriber]:
-        return [found for found in self._subscribers if found.role is NodeRole.ENTRY]
+    def _entry_subscribers(self) -> list[Subscriber]:
+        return [each for each in self._subscribers if each.role is NodeRole.ENTRY]
 
-    def _count_entries(self) -> None:
-        self._registry.local_entries = len(self._entries())
+    def _update_entry_count(self) -> None:
+        self._registry.local_entries = len(self._entry_subscribers())
 
 
 def _now_s() -> float:
@@ -246,7 +251,7 @@
 
 
 def _role(name: str) -> NodeRole | None:
-    return next((role for role in LOAD_PAUSE_S if role.value == name), None)
+    return next((role for role in LOAD_BATCH_WINDOW_S if role.value == name), None)
 
 
 __all__ = ["FeedServer"]
--- a/src/leadhollow/control/manifests.py
+++ b/src/leadhollow/control/manifests.py
@@ -1,7 +1,7 @@
-"""Reads from the origin what a version consists of, and puts it into the replicated state.
+"""Reads the manifests of versions from the origin and commits them to the replicated state.
 
-Only the leader reads. What an origin sends may be spoilt on its way, so a manifest counts once two
-readings of it agree.
+Only the leader reads. A response of the origin may be corrupted in transit, so a manifest is
+committed only after two reads of it match.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 POLL_S = 0.1
 READ_TIMEOUT_S = 1.5
 PROPOSE_TIMEOUT_S = 2.0
-AGREEING_READS = 2
-FIRST_VERSION = 1  # what engines bring with them where no version was named yet
+MATCHING_READS = 2
+FIRST_VERSION = 1  # version that engines have before any version is named
 
 log = get_logger("manifests")
 
 
-class Wanted:
-    """A version whose manifest is not known yet."""
+class MissingManifest:
+    """A version without a manifest in the replicated state."""
 
     __slots__ = ("model", "number")
 
@@ -39,7 +39,7 @@
 
 
 class ManifestReader(TaskService):
-    """Describes each version that engines may have to run."""
+    """Fetches and commits the manifest of each version that engines may have to run."""
 
     __slots__ = ("_dialect", "_gateway", "_http", "_replica")
 
@@ -55,10 +55,10 @@
             await asyncio.sleep(POLL_S)
             if not self._replica.ready():
                 continue
-            for wanted in self._wanted():
-                await self._describe(wanted)
+            for missing in self._missing_manifests():
+                await self._read_and_commit(missing)
 
-    def _wanted(self) -> list[Wanted]:
+    def _missing_manifests(self) -> list[MissingManifest]:
         catalog = self._replica.machine.catalog
         services = catalog.values(ServiceRecord)
         models = {
@@ -67,46 +67,46 @@
             if service.engine is not None and service.engine.chunks
             for model in service.engine.load_s
         }
-        found = []
+        missing_manifests = []
         for model in sorted(models):
-            held = versions_of(catalog, model)
-            if not held:
-                found.append(Wanted(model=model, number=FIRST_VERSION))
-            elif held[0].manifest is None:
-                found.append(Wanted(model=model, number=held[0].number))
-        return found
-
-    async def _describe(self, wanted: Wanted) -> None:
+            versions = versions_of(catalog, model)
+            if not versions:
+                missing_manifests.append(MissingManifest(model=model, number=FIRST_VERSION))
+            elif versions[0].manifest is None:
+                missing_manifests.append(MissingManifest(model=model, number=versions[0].number))
+        return missing_manifests
+
+    async def _read_and_commit(self, missing: MissingManifest) -> None:
         origin = self._origin()
         if origin is None:
             return
-        readings: list[DescribedVersion] = []
-        for _ in range(AGREEING_READS + 1):
-            read = await self._read(origin, wanted)
+        earlier_reads: list[DescribedVersion] = []
+        for _ in range(MATCHING_READS + 1):
+            read = await self._read(origin, missing)
             if read is None:
                 return
-            if any(_agree(read, earlier) for earlier in readings):
+            if any(_same_manifest(read, earlier) for earlier in earlier_reads):
                 await self._commit(read)
                 return
-            readings.append(read)
-        log.warning("manifest readings differ", model=wanted.model, number=wanted.number)
-
-    async def _read(self, origin: Address, wanted: Wanted) -> DescribedVersion | None:
-        target = self._dialect.manifest_target(wanted.model, wanted.number)
-        answered = await self._http.fetch("GET", origin, target, timeout_s=READ_TIMEOUT_S)
-        if answered.is_err():
-            log.warning("manifest not read", failure=str(answered.unwrap_err()))
+            earlier_reads.append(read)
+        log.warning("manifest reads differ", model=missing.model, number=missing.number)
+
+    async def _read(self, origin: Address, missing: MissingManifest) -> DescribedVersion | None:
+        target = self._dialect.manifest_target(missing.model, missing.number)
+        fetched = await self._http.fetch("GET", origin, target, timeout_s=READ_TIMEOUT_S)
+        if fetched.is_err():
+            log.warning("manifest not read", failure=str(fetched.unwrap_err()))
             return None
-        answer = answered.unwrap()
-        if answer.status != 200:
-            log.warning("manifest refused", status=answer.status, model=wanted.model)
+        response = fetched.unwrap()
+        if response.status != 200:
+            log.warning("manifest request refused", status=response.status, model=missing.model)
             return None
-        decoded = self._dialect.read_manifest(answer.body)
+        decoded = self._dialect.read_manifest(response.body)
         if decoded.is_err():
-            log.warning("manifest not understood", failure=str(decoded.unwrap_err()))
+            log.warning("manifest malformed", failure=str(decoded.unwrap_err()))
             return None
         described = decoded.unwrap()
-        if (described.model, described.number) != (wanted.model, wanted.number):
+        if (described.model, described.number) != (missing.model, missing.number):
             log.warning("manifest of another version", number=described.number)
             return None
         return described
@@ -115,9 +115,9 @@
         command = DescribeVersion(
             model=described.model, number=described.number, manifest=described.manifest
         )
-        done = await self._gateway.propose(command, timeout_s=PROPOSE_TIMEOUT_S)
-        if done.is_err():
-            log.warning("manifest not committed", failure=str(done.unwrap_err()))
+        proposed = await self._gateway.propose(command, timeout_s=PROPOSE_TIMEOUT_S)
+        if proposed.is_err():
+            log.warning("manifest not committed", failure=str(proposed.unwrap_err()))
             return
         log.info("version described", model=described.model, number=described.number)
 
@@ -130,7 +130,7 @@
         return None
 
 
-def _agree(one: DescribedVersion, other: DescribedVersion) -> bool:
+def _same_manifest(one: DescribedVersion, other: DescribedVersion) -> bool:
     return one.manifest == other.manifest
 
 
--- a/src/leadhollow/control/registry.py
+++ b/src/leadhollow/control/registry.py
@@ -1,7 +1,8 @@
-"""Backend servers and their loads, as all control replicas together hear of them.
+"""Registry of backend servers and their loads, shared by all control replicas as soft state.
 
-Whatever one replica hears first it tells the others at once; once a second each tells the others
-everything it heard itself, so that ages stay true and a replica that restarts knows all again.
+Each replica sends what servers and engines report to it to the other replicas at once. Once a
+second it sends all of that again, which keeps ages current and lets a restarted replica recover the
+state.
 """
 
 from __future__ import annotations
@@ -22,58 +23,67 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
 
-FLOOD_PAUSE_S = 0.02  # changes within it travel together
+BATCH_WINDOW_S = 0.02  # changes within it are sent in one message
 REFRESH_S = 1.0
 SETTLE_S = 0.3
-"""Of a replica that has started. Others flood what changes at once, and where all have started
-together nobody knows more, so that entries need not wait for a whole refresh."""
+"""Time after its start during which a replica does not report that it is up to date.
 
-OWN_WORD_S = 5.0
-OWN_WORD_BEATS = 4
-"""How long this replica passes on what it heard itself: some heartbeats, and at least 5 s."""
+It is shorter than a refresh, which entries need not wait for: other replicas send changes at once,
+and if all have just started, none of them knows more."""
+
+MIN_LOCAL_VALID_S = 5.0
+LOCAL_VALID_HEARTBEATS = 4
+"""How long a replica relays announcements made to it: some heartbeats, and at least 5 s."""
 
 ENTRIES_VALID_S = 4.0
 
 LOAD_VALID_S = 10.0
-"""Age after which a report of load is dropped, and at least as long as followers go by it: the
-more engines, the rarer each reports, so that a fixed time drops every report of a large fleet
-before the next one comes, and takes that one for news."""
+"""Minimum age after which a load report is dropped.
+
+The more engines there are, the less often each reports. A fixed age would drop every report of a
+large fleet before the next one arrives, and would then treat that one as a change. Reports are kept
+for at least as long as subscribers use them."""
 
 log = get_logger("registry")
 
 
 class ReportedLoad:
-    """The last report of an engine's load.
+    """Last load report of an engine.
 
     Attributes
     ----------
-    news
-        Whether it says something else of the engine's weights than the report before it; the
-        stagers need no other reports.
+    weights_changed
+        Whether the engine's weights differ from those in the previous report. Stagers get only
+        these reports.
     """
 
-    __slots__ = ("heard_s", "news", "own", "record")
+    __slots__ = ("record", "reported_here", "reported_s", "weights_changed")
 
     def __init__(
-        self, *, record: LoadRecord, heard_s: float, own: bool, previous: Load | None
+        self,
+        *,
+        record: LoadRecord,
+        reported_s: float,
+        reported_here: bool,
+        previous: ReportedLoad | None,
     ) -> None:
         self.record = record
-        self.heard_s = heard_s
-        self.own = own
-        self.news = previous is None or previous.standing() != self.standing()
+        self.reported_s = reported_s
+        self.reported_here = reported_here
+        self.weights_changed = previous is None or previous.weights_state() != self.weights_state()
 
-    def standing(self) -> tuple[object, ...]:
-        """Give what the report says of the engine's weights."""
+    def weights_state(self) -> tuple[object, ...]:
+        """Return the part of the report that describes the engine's weights."""
         record = self.record
         held = tuple(
-            (found.model, found.version, found.first_layer, found.end_layer)
-            for found in record.models or ()
+            (held_model.model, held_model.version, held_model.first_layer, held_model.end_layer)
+            for held_model in record.models or ()
         )
         return held, bool(record.switching), record.staged_version, record.staged_pieces
 
-    def message(self, now_s: float) -> LoadRecord:
-        """Give the record with its age now."""
-        self.record.age_ms = int((now_s - self.heard_s) * 1000)
+    def to_record(self, now_s: float) -> LoadRecord:
+        """Return the wire record with its current age."""
+        self.record.age_ms = int((now_s - self.reported_s) * 1000)
         return self.record
 
 
@@ -82,40 +92,40 @@
 
 
 class Registry(BatchingService):
-    """Soft state of one control replica.
+    """Backend servers and loads as one control replica knows them.
 
     Parameters
     ----------
     own_address
-        Where other replicas reach us.
+        Wire address of this replica.
     replicas
-        Gives the addresses of all replicas.
+        Returns the addresses of all replicas.
     directory
-        Told of each replica that is heard.
+        Records each replica that sends a message.
     forget_after_s
         Silence after which a backend server is dropped.
     heartbeat_s
         How often a backend server announces itself.
     naming_times
-        When versions were named; replicas learn it from each other.
-    serves
-        Tells whether the route table in force names a service.
+        Times at which versions were named; replicas exchange them.
+    accepts_service
+        Returns whether the route table in force has a service.
     """
 
     __slots__ = (
+        "_accepts_service",
+        "_announced_here_s",
+        "_changed_instances",
+        "_changed_loads",
         "_directory",
-        "_dirty",
-        "_dirty_loads",
-        "_entries_elsewhere",
-        "_heard_here_s",
         "_listeners",
         "_loads",
+        "_local_valid_s",
         "_naming_times",
         "_own_address",
-        "_own_word_s",
         "_peers",
+        "_remote_entries",
         "_replicas",
-        "_serves",
         "_silence_listeners",
         "_started_s",
         "local_entries",
@@ -136,102 +146,106 @@
         accepts_service: Callable[[str], bool],
     ) -> None:
         self._own_address = own_address
-        self._own_word_s = max(OWN_WORD_S, OWN_WORD_BEATS * heartbeat_s)
+        self._local_valid_s = max(MIN_LOCAL_VALID_S, LOCAL_VALID_HEARTBEATS * heartbeat_s)
         self._replicas = replicas
         self._directory = directory
-        self._serves = accepts_service
+        self._accepts_service = accepts_service
         self._peers = peers
-        self._loads: dict[str, Load] = {}
-        self._dirty: dict[str, Instance] = {}
-        self._dirty_loads: set[str] = set()
-        self._heard_here_s: dict[str, float] = {}
-        self._entries_elsewhere: dict[str, tuple[int, float]] = {}
+        self._loads: dict[str, ReportedLoad] = {}
+        self._changed_instances: dict[str, Instance] = {}
+        self._changed_loads: set[str] = set()
+        self._announced_here_s: dict[str, float] = {}
+        self._remote_entries: dict[str, tuple[int, float]] = {}
         self._listeners: list[ChangeListener] = []
         self._silence_listeners: list[SilenceListener] = []
         self._started_s = _now_s()
         self._naming_times = naming_times
         self.local_entries = 0
         self.table = InstanceTable(forget_after_s=forget_after_s, heartbeat_s=heartbeat_s)
-        super().__init__(batch_window_s=FLOOD_PAUSE_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=BATCH_WINDOW_S, refresh_s=REFRESH_S)
         handlers.on_oneway(RegistryPush, self._on_push)
         handlers.on_oneway(LoadReport, self._on_load_report)
 
     def on_change(self, listener: ChangeListener) -> None:
-        """Call a function with instances and loads that changed."""
+        """Register a listener that gets changed instances and loads."""
         self._listeners.append(listener)
 
     def on_silence(self, listener: SilenceListener) -> None:
-        """Call a function with the incarnations of which nothing has been heard for long."""
+        """Register a listener that gets the names of instances that became silent."""
         self._silence_listeners.append(listener)
 
-    def announce(self, heard: Instance) -> None:
-        """Take an announcement that was made here.
+    def announce(self, instance: Instance) -> None:
+        """Record an announcement that a backend server made to this replica.
 
-        One of a service that no route table names is of no use, and may not take the address of a
-        server that is: it is left out until a table names its service. A server that is known
-        already stays, whatever tables name, so that its leaving is heard.
+        An announcement of a service that the route table does not have is ignored, because it must
+        not take over the address of a server in use. A server that is known already is always
+        updated, so that its deregistration is noticed.
         """
-        if self.table.get(heard.instance) is None and not self._serves(heard.service):
+        if self.table.get(instance.instance) is None and not self._accepts_service(
+            instance.service
+        ):
             log.warning(
-                "announcement of an unknown service left out",
-                instance=heard.instance,
-                service=heard.service,
+                "announcement of an unknown service ignored",
+                instance=instance.instance,
+                service=instance.service,
             )
             return
-        self._heard_here_s[heard.instance] = heard.heard_s
-        if self.table.merge(heard):
-            self._changed_here(heard)
+        self._announced_here_s[instance.instance] = instance.heard_s
+        if self.table.merge(instance):
+            self._record_change(instance)
 
     def deregister(self, instance: str, *, born_ms: int = 0) -> None:
-        """Take the word of a backend server that it is gone; see :meth:`InstanceTable.leave`."""
+        """Remove a backend server on its own request; see :meth:`InstanceTable.leave`."""
         gone = self.table.deregister(instance, born_ms=born_ms)
         if gone is not None:
-            self._changed_here(gone)
+            self._record_change(gone)
 
     def mark_leaving(self, life: str) -> None:
-        """Take what a backend server said in an answer; it counts like an announcement here."""
+        """Mark a server as leaving because a response said so; counts like an announcement."""
         left = self.table.record_leaving(life)
         if left is not None:
-            self._changed_here(left)
+            self._record_change(left)
         known = self.table.of_life(life)
         if known is not None:
-            self._heard_here_s[known.instance] = _now_s()
+            self._announced_here_s[known.instance] = _now_s()
 
-    def loads(self) -> list[Load]:
-        """Give the load of each engine that reported lately."""
+    def loads(self) -> list[ReportedLoad]:
+        """Return the last load report of each engine that is not expired."""
         return list(self._loads.values())
 
     def live_entries(self) -> int:
-        """Count the live entries of the whole system, as far as known."""
-        elsewhere = [
+        """Return the number of live entries at all replicas, as far as known."""
+        remote = [
             count
-            for count, heard_s in self._entries_elsewhere.values()
-            if active_time.active_since_s(heard_s) < ENTRIES_VALID_S
+            for count, heard_s in self._remote_entries.values()
+            if active_time.heard_since_s(heard_s) < ENTRIES_VALID_S
         ]
-        return self.local_entries + sum(elsewhere)
+        return self.local_entries + sum(remote)
 
     def settled(self) -> bool:
-        """Tell whether most backend servers had the time to be heard since we started."""
+        """Return whether enough time passed since the start to hear from most backend servers."""
         return _now_s() - self._started_s > SETTLE_S
 
     async def _publish(self, *, whole: bool) -> None:
-        """Tell the other replicas what changed here, or everything that was heard here."""
+        """Send the other replicas the changes received here, or everything received here."""
         if whole:
             self._expire()
         now_s = _now_s()
-        dirty, self._dirty = self._dirty, {}
-        dirty_loads, self._dirty_loads = self._dirty_loads, set()
-        instances = list(dirty.values())
+        changed, self._changed_instances = self._changed_instances, {}
+        changed_loads, self._changed_loads = self._changed_loads, set()
+        instances = list(changed.values())
         if whole:
-            instances += [found for found in self._local_instances() if found not in instances]
+            instances += [each for each in self._local_instances() if each not in instances]
             instances += [gone for gone in self.table.deregistered()[-32:] if gone not in instances]
-            dirty_loads = {address for address, load in self._loads.items() if load.own}
+            changed_loads = {address for address, load in self._loads.items() if load.reported_here}
         loads = [
-            self._loads[address].message(now_s) for address in dirty_loads if address in self._loads
+            self._loads[address].to_record(now_s)
+            for address in changed_loads
+            if address in self._loads
         ]
         push = RegistryPush(
             self._own_address,
-            [found.to_record(now_s) for found in instances],
+            [each.to_record(now_s) for each in instances],
             loads,
             self.local_entries,
             whole,
@@ -243,57 +257,59 @@
                 self._peers.post(address, push)
 
     def _local_instances(self) -> list[Instance]:
-        """Give the backend servers that were heard here lately."""
-        self._heard_here_s = {
+        """Return the backend servers that announced themselves to this replica lately."""
+        self._announced_here_s = {
             instance: heard_s
-            for instance, heard_s in self._heard_here_s.items()
-            if active_time.active_since_s(heard_s) < self._own_word_s
+            for instance, heard_s in self._announced_here_s.items()
+            if active_time.heard_since_s(heard_s) < self._local_valid_s
         }
-        found = [self.table.get(instance) for instance in self._heard_here_s]
-        return [instance for instance in found if instance is not None]
+        known = [self.table.get(instance) for instance in self._announced_here_s]
+        return [instance for instance in known if instance is not None]
 
     def _on_push(self, push: RegistryPush, connection: Connection) -> None:
         now_s = _now_s()
         self._directory.record(push.address, push.heard or ())
-        self._entries_elsewhere[push.address] = (int(push.entries or 0), now_s)
+        self._remote_entries[push.address] = (int(push.entries or 0), now_s)
         self._naming_times.merge(push.named or ())
         changed = []
         for record in push.instances or ():
-            heard = Instance.from_record(record, now_s)
-            if heard.state is InstanceState.GONE:
-                gone = self.table.deregister(heard.instance, born_ms=heard.born_ms)
+            instance = Instance.from_record(record, now_s)
+            if instance.state is InstanceState.GONE:
+                gone = self.table.deregister(instance.instance, born_ms=instance.born_ms)
                 changed += [] if gone is None else [gone]
-            elif self.table.merge(heard):
-                changed.append(heard)
+            elif self.table.merge(instance):
+                changed.append(instance)
         loads = [
             load
             for record in push.loads or ()
-            if (load := self._merge_load(record, own=False)) is not None
+            if (load := self._merge_load(record, reported_here=False)) is not None
         ]
-        self._tell_here(changed, loads)
+        self._notify_listeners(changed, loads)
 
     def _on_load_report(self, report: LoadReport, connection: Connection) -> None:
         loads = []
         for record in report.loads or ():
-            load = self._merge_load(record, own=True)
+            load = self._merge_load(record, reported_here=True)
             if load is not None:
                 loads.append(load)
-                self._dirty_loads.add(record.address)
+                self._changed_loads.add(record.address)
         self.note_change()
-        self._tell_here([], loads)
+        self._notify_listeners([], loads)
 
-    def _merge_load(self, record: LoadRecord, *, own: bool) -> Load | None:
-        heard_s = _now_s() - (record.age_ms or 0) / 1000
+    def _merge_load(self, record: LoadRecord, *, reported_here: bool) -> ReportedLoad | None:
+        reported_s = _now_s() - (record.age_ms or 0) / 1000
         known = self._loads.get(record.address)
-        if known is not None and known.heard_s >= heard_s:
+        if known is not None and known.reported_s >= reported_s:
             return None
         if known is not None and 0 < (record.born_ms or 0) < (known.record.born_ms or 0):
-            return None  # a late report of a former life
-        load = ReportedLoad(record=record, heard_s=heard_s, own=own, previous=known)
+            return None  # a late report of an earlier life
+        load = ReportedLoad(
+            record=record, reported_s=reported_s, reported_here=reported_here, previous=known
+        )
         self._loads[record.address] = load
         return load
 
-    def _changed_here(self, instance: Instance) -> None:
+    def _record_change(self, instance: Instance) -> None:
         log.info(
             "backend server changed",
             instance=instance.instance,
@@ -303,11 +319,11 @@
             sequence=instance.sequence,
             served=[served.key() for served in instance.served],
         )
-        self._dirty[instance.instance] = instance
+        self._changed_instances[instance.instance] = instance
         self.note_change()
-        self._tell_here([instance], [])
+        self._notify_listeners([instance], [])
 
-    def _tell_here(self, instances: list[Instance], loads: list[Load]) -> None:
+    def _notify_listeners(self, instances: list[Instance], loads: list[ReportedLoad]) -> None:
         if not instances and not loads:
             return
         for listener in self._listeners:
@@ -315,25 +331,25 @@
 
     def _expire(self) -> None:
         silent = [
-            found.instance
-            for found in self.table.forget_silent(silence_s=active_time.active_since_s)
+            instance.instance
+            for instance in self.table.forget_silent(silence_s=active_time.heard_since_s)
         ]
         if silent:
             for listener in self._silence_listeners:
                 listener(silent)
         valid_s = load_valid_s(len(self._loads))
         for address, load in list(self._loads.items()):
-            if active_time.active_since_s(load.heard_s) > valid_s:
+            if active_time.heard_since_s(load.reported_s) > valid_s:
                 del self._loads[address]
 
 
 def load_valid_s(engines: int) -> float:
-    """Give the age after which a report of load is dropped.
+    """Return the age after which a load report is dropped.
 
     Parameters
     ----------
     engines
-        Engines that report.
+        Number of engines that report.
     """
     return max(LOAD_VALID_S, VALID_INTERVALS * report_interval_s(engines))
 
@@ -342,4 +358,4 @@
     return asyncio.get_running_loop().time()
 
 
-__all__ = ["ReportedLoad", "Registry", "load_valid_s"]
+__all__ = ["Registry", "ReportedLoad", "load_valid_s"]
--- a/src/leadhollow/control/replica_service.py
+++ b/src/leadhollow/control/replica_service.py
@@ -1,4 +1,7 @@
-"""The replica of a control process: found from seeds, with voters that come and go."""
+"""Runs the replica of a control process.
+
+The replica finds the others through seeds, joins them, and keeps the set of voters complete.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +27,13 @@
 from leadhollow.wire.peers import PeerPool
 
 STATE_FOLDER = "state"
-HAND_OVER_S = 0.6  # of the grace that a stop gets; an election without it takes as long
+HANDOVER_TIMEOUT_S = 0.6  # an election without handover takes as long; within the stop grace period
 
 log = get_logger("replica")
 
 
 class ReplicaService:
-    """Replica, joining and roster of one control process."""
+    """Starts and stops the replica, its joining and its roster of voters."""
 
     __slots__ = (
         "_handlers",
@@ -51,12 +54,12 @@
         self._seeds = settings.seed_wire_addresses
         self._joining: Joining | None = None
         self._roster: RosterKeeper | None = None
-        self.directory = ReplicaDirectory(clock=_heard_s)
+        self.directory = ReplicaDirectory(clock=_directory_clock_s)
         self.replica: Replica
         self.gateway: LeaderGateway
 
     async def start(self) -> Result[None, Failure]:
-        """Read or make the identity, open the log and join the others."""
+        """Load or create the identity, open the log and join the other replicas."""
         settings = self._settings
         folder = Path(settings.data_folder or ".") / STATE_FOLDER
         loaded = await asyncio.to_thread(
@@ -93,30 +96,30 @@
         return await self._join(identity.replica)
 
     async def drain(self) -> None:
-        """Let another replica lead before this one goes."""
+        """Hand leadership over to another replica before this one stops."""
         if self.replica.role is ReplicaRole.LEADER:
-            handed_over = await self.replica.leadership.hand_over(HAND_OVER_S)
-            log.info("lead handed over", done=handed_over)
+            handed_over = await self.replica.leadership.hand_over(HANDOVER_TIMEOUT_S)
+            log.info("leadership handed over", done=handed_over)
 
     async def stop(self) -> None:
-        """Leave the replicas."""
+        """Stop the replica and its services."""
         for service in (self._roster, self._joining):
             if service is not None:
                 await service.stop()
         await self.replica.stop()
 
     def addresses(self) -> list[str]:
-        """Give every address at which a replica is or may be found, our own included."""
-        return list(dict.fromkeys([*self._rostered(), *self.directory.addresses()]))
+        """Return every address at which a replica may be reached, its own included."""
+        return list(dict.fromkeys([*self._known_addresses(), *self.directory.addresses()]))
 
-    def _rostered(self) -> list[str]:
-        """Give the addresses of voters, seeds and, where we lead, of learners."""
-        found = [voter.address for voter in self.replica.voters.voters]
-        found += [follower.peer.address for follower in self.replica.leadership.followers()]
-        return list(dict.fromkeys([*found, *self._seeds, self._settings.wire_address]))
+    def _known_addresses(self) -> list[str]:
+        """Return the addresses of voters, seeds and, on the leader, learners."""
+        addresses = [voter.address for voter in self.replica.voters.voters]
+        addresses += [follower.peer.address for follower in self.replica.leadership.followers()]
+        return list(dict.fromkeys([*addresses, *self._seeds, self._settings.wire_address]))
 
     def addresses_with_domains(self) -> list[str]:
-        """Give address and failure domain of all replicas, separated by a blank."""
+        """Return address and failure domain of each replica, separated by a space."""
         followers = [follower.peer for follower in self.replica.leadership.followers()]
         domains = {
             peer.address: peer.failure_domain
@@ -124,10 +127,12 @@
             if peer.failure_domain
         }
         domains[self._settings.wire_address] = self._settings.failure_domain
-        return sorted(f"{address} {domains.get(address, '')}" for address in self._rostered())
+        return sorted(
+            f"{address} {domains.get(address, '')}" for address in self._known_addresses()
+        )
 
     def use_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Look for replicas at other seeds from now on."""
+        """Replace the seeds at which replicas are looked for."""
         self._seeds = seeds
 
     async def _join(self, identity: str) -> Result[None, Failure]:
@@ -139,7 +144,7 @@
         self._joining = Joining(
             replica=self.replica,
             own=own,
-            known=self._rostered,
+            known=self._known_addresses,
             peers=self._peers,
             handlers=self._handlers,
         )
@@ -150,9 +155,9 @@
         return Ok(None)
 
 
-def _heard_s() -> float:
-    """Give the time in which we could hear, with suspensions: others are gone after a long one."""
-    return active_time.active_s() + clocks.suspended_s()
+def _directory_clock_s() -> float:
+    """Return the active time plus suspensions, since others may be gone after a long suspension."""
+    return active_time.heard_s() + clocks.suspended_s()
 
 
 __all__ = ["STATE_FOLDER", "ReplicaService"]
--- a/src/leadhollow/control/self_report_relay.py
+++ b/src/leadhollow/control/self_report_relay.py
@@ -1,7 +1,7 @@
-"""What backend servers said of themselves to some entry, passed on to all others.
+"""Relays self-reports of backend servers, which one entry received in responses, to all others.
 
-That a server leaves goes the way of its heartbeats, through the registry. A rest binds the VM that
-was asked for it; the others are told so that they prefer other servers.
+A report that a server leaves goes through the registry, like its heartbeats. A back-off is binding
+for the VM that was asked for it; other VMs get it so that they prefer other servers.
 """
 
 from __future__ import annotations
@@ -23,9 +23,10 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
 
-SAME_REST_S = 0.5
-"""Part of a rest that is not worth telling again: a server asks all entries within some moments,
-and each of them tells."""
+MIN_BACKOFF_CHANGE_S = 0.5
+"""Minimum extension of a back-off that is relayed.
+
+A server asks all entries for a back-off at nearly the same time, and each of them reports it."""
 
 log = get_logger("self-reports")
 
@@ -33,15 +34,15 @@
 
 
 class LeavingTable(Protocol):
-    """Takes that a life of a backend server leaves."""
+    """Receives reports that a backend server leaves."""
 
     def mark_leaving(self, life: str) -> None:
-        """Take the word of a server that an entry heard."""
+        """Mark a life as leaving, as it said in a response to an entry."""
         ...
 
 
 class ReportedBackoff(NamedTuple):
-    """End of a rest, and the VM that told of it."""
+    """End of a back-off, and the VM that reported it."""
 
     end_s: float
     vm: str
@@ -53,23 +54,23 @@
     Parameters
     ----------
     own_address
-        Where other replicas reach us.
+        Wire address of this replica.
     replicas
-        Gives the addresses of all replicas.
+        Returns the addresses of all replicas.
 
     Attributes
     ----------
-    leaving
-        VM that told first, by the life that said in an answer that it leaves.
+    leaving_reported_by
+        The VM that first reported a life as leaving, by life.
     """
 
     __slots__ = (
+        "_backoffs",
         "_leaving_table",
         "_listeners",
         "_own_address",
         "_peers",
         "_replicas",
-        "_rests",
         "leaving_reported_by",
     )
 
@@ -86,67 +87,69 @@
         self._replicas = replicas
         self._leaving_table = leaving_table
         self._peers = peers
-        self._rests: dict[str, Rest] = {}  # by life
+        self._backoffs: dict[str, ReportedBackoff] = {}  # by life
         self.leaving_reported_by: OrderedDict[str, str] = OrderedDict()
         self._listeners: list[ChangeListener] = []
         handlers.on_oneway(ServerWords, self._on_words)
 
     def on_change(self, listener: ChangeListener) -> None:
-        """Call a function with the lives whose rest is news, and the VM that sent the news."""
+        """Register a listener that gets lives with a changed back-off and the VM that sent it."""
         self._listeners.append(listener)
 
     def lives_in_backoff(self) -> set[str]:
-        """Name the lives that want rest now, and forget the others."""
+        """Return the lives that are in a back-off now, and remove expired back-offs."""
         now_s = clocks.elapsed_s()
-        self._rests = {life: rest for life, rest in self._rests.items() if rest.end_s > now_s}
-        return set(self._rests)
+        self._backoffs = {
+            life: backoff for life, backoff in self._backoffs.items() if backoff.end_s > now_s
+        }
+        return set(self._backoffs)
 
-    def backoff(self, life: str) -> Rest | None:
-        """Give the rest of a life, None where it wants none now."""
-        found = self._rests.get(life)
-        return found if found is not None and found.end_s > clocks.elapsed_s() else None
+    def backoff(self, life: str) -> ReportedBackoff | None:
+        """Return the back-off of a life, None if it has none now."""
+        backoff = self._backoffs.get(life)
+        return backoff if backoff is not None and backoff.end_s > clocks.elapsed_s() else None
 
     def encode_backoffs(self, lives: Iterable[str]) -> list[ServerWord]:
-        """Encode the rests of some lives, as far as they last."""
+        """Encode the back-offs of some lives that have not expired."""
         now_s = clocks.elapsed_s()
-        found = [(life, self.backoff(life)) for life in sorted(lives)]
+        backoffs = [(life, self.backoff(life)) for life in sorted(lives)]
         return [
-            backoff_report(life, rest.end_s - now_s, told_by=rest.vm)
-            for life, rest in found
-            if rest is not None
+            backoff_report(life, backoff.end_s - now_s, told_by=backoff.vm)
+            for life, backoff in backoffs
+            if backoff is not None
         ]
 
-    def _on_words(self, words: ServerWords, connection: Connection) -> None:
-        checked = check_reports(words)
+    def _on_words(self, message: ServerWords, connection: Connection) -> None:
+        checked = check_reports(message)
         if checked.is_err():
-            log.warning("self-reports not taken", failure=str(checked.unwrap_err()))
+            log.warning("self-reports rejected", failure=str(checked.unwrap_err()))
             return
         sender = "" if connection.hello is None else connection.hello.vm
-        leaving, resting = set(), set()
-        for word in checked.unwrap():
-            vm = word.told_by or sender
-            if word.leaving and self._take_leaving(word.life, vm):
-                leaving.add(word.life)
-            if word.rest_ms and self._take_rest(word.life, word.rest_ms / 1000, vm):
-                resting.add(word.life)
-        if resting:
+        leaving, in_backoff = set(), set()
+        for report in checked.unwrap():
+            vm = report.told_by or sender
+            if report.leaving and self._merge_leaving(report.life, vm):
+                leaving.add(report.life)
+            if report.rest_ms and self._merge_backoff(report.life, report.rest_ms / 1000, vm):
+                in_backoff.add(report.life)
+        if in_backoff:
             for listener in self._listeners:
-                listener(resting, sender)
-        if not words.address and (leaving or resting):
-            self._pass_on(leaving, resting)
+                listener(in_backoff, sender)
+        if not message.address and (leaving or in_backoff):
+            self._relay(leaving, in_backoff)
 
-    def _pass_on(self, leaving: set[str], resting: set[str]) -> None:
-        """Tell the other replicas; what they tell us they have told each other."""
+    def _relay(self, leaving: set[str], in_backoff: set[str]) -> None:
+        """Send reports of entries to the other replicas; reports of replicas are not relayed."""
         words = [
             leaving_report(life, told_by=self.leaving_reported_by[life]) for life in sorted(leaving)
         ]
-        news = ServerWords(self._own_address, words + self.encode_backoffs(resting))
+        message = ServerWords(self._own_address, words + self.encode_backoffs(in_backoff))
         for address in self._replicas():
             if address != self._own_address:
-                self._peers.post(address, news)
+                self._peers.post(address, message)
 
-    def _take_leaving(self, life: str, vm: str) -> bool:
-        """Take that a life leaves; tells whether that is news here."""
+    def _merge_leaving(self, life: str, vm: str) -> bool:
+        """Mark a life as leaving; return whether that was unknown."""
         self._leaving_table.mark_leaving(life)
         if life in self.leaving_reported_by:
             return False
@@ -155,20 +158,20 @@
             self.leaving_reported_by.popitem(last=False)
         return True
 
-    def _take_rest(self, life: str, rest_s: float, vm: str) -> bool:
-        """Take a rest; tells whether it lasts much longer than what is known."""
+    def _merge_backoff(self, life: str, rest_s: float, vm: str) -> bool:
+        """Store a back-off; return whether it lasts much longer than the known one."""
         end_s = clocks.elapsed_s() + rest_s
         known = self.backoff(life)
-        if known is not None and end_s - known.end_s < SAME_REST_S:
+        if known is not None and end_s - known.end_s < MIN_BACKOFF_CHANGE_S:
             return False
-        if life not in self._rests and not self._has_room():
-            log.warning("rest not passed on: too many servers rest", life=life)
+        if life not in self._backoffs and not self._has_room():
+            log.warning("back-off not relayed: too many servers in back-off", life=life)
             return False
-        self._rests[life] = ReportedBackoff(end_s=end_s, vm=vm)
+        self._backoffs[life] = ReportedBackoff(end_s=end_s, vm=vm)
         return True
 
     def _has_room(self) -> bool:
-        return len(self._rests) < MAX_REPORTS or len(self.lives_in_backoff()) < MAX_REPORTS
+        return len(self._backoffs) < MAX_REPORTS or len(self.lives_in_backoff()) < MAX_REPORTS
 
 
 __all__ = ["ReportedBackoff", "SelfReportRelay"]
--- a/src/leadhollow/control/subscriber.py
+++ b/src/leadhollow/control/subscriber.py
@@ -1,4 +1,4 @@
-"""What one watcher of a control replica has not been told yet."""
+"""State of one subscriber of a feed: what it was sent and what is pending for it."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 from leadhollow.wire.generated.ttypes import LimitLease
 
 STAGER_PREFIXES = ("weights/", "service/")
-"""What a stager needs of the catalog; its link is slow."""
+"""Catalog keys that stagers need; they get no others because their links are slow."""
 
 
 class Subscriber:
-    """One watcher, and what it has not been told yet.
+    """An entry or a stager that follows the feed, with its pending changes.
 
     Parameters
     ----------
     sent_revision
-        Revision of the catalog that it holds.
+        Catalog revision that the subscriber has.
     takes_packed
-        Whether it understands packed items.
+        Whether the subscriber supports packed items.
     """
 
     __slots__ = (
         "_due_s",
-        "_waits_until_s",
+        "_wait_until_s",
         "_wake",
+        "backoffs",
         "decisions_s",
         "domain",
         "instances",
         "limit_lease",
         "limits",
         "loads",
-        "rests",
         "role",
         "sent_naming_times",
         "sent_replicas",
         "sent_revision",
         "silent",
         "suspects",
-        "suspects_mark",
+        "suspects_checksum",
         "takes_packed",
         "uses",
         "vm",
@@ -59,42 +59,42 @@
         self.role = role
         self.takes_packed = takes_packed
         self.uses = UseUpdateQueue()
-        self._due_s = math.inf  # when it is to be told of something else than uses
-        self.decisions_s = 0.0  # when it was last told what others refused
+        self._due_s = math.inf  # when changes other than uses are due
+        self.decisions_s = 0.0  # when decisions were last sent
         self.sent_revision = sent_revision
         self.instances: dict[str, Instance] = {}
-        self.silent: set[str] = set()  # incarnations that are heard no more
-        self.loads: dict[str, Load] = {}
-        self.limits: set[str] = set()  # lives whose limit it is to be told
-        self.rests: set[str] = set()  # lives whose rest it is to be told
+        self.silent: set[str] = set()  # instances that have become silent
+        self.loads: dict[str, ReportedLoad] = {}
+        self.limits: set[str] = set()  # lives whose limit is pending
+        self.backoffs: set[str] = set()  # lives whose back-off is pending
         self.limit_lease: LimitLease | None = None
         self.suspects = SuspectChanges()
-        self.suspects_mark = 0  # of the table that it was told last
+        self.suspects_checksum = 0  # checksum of the table that was sent last
         self.sent_replicas: list[str] = []
         self.sent_naming_times = 0
         self._wake = asyncio.Event()
-        self._waits_until_s = math.inf  # as of its last wait
+        self._wait_until_s = math.inf  # end of the current wait
 
     @property
     def due_s(self) -> float:
-        """Time at which it is to be told something; infinite where there is nothing."""
+        """Time at which the next update is due; infinite if nothing is pending."""
         return min(self._due_s, self.uses.due_s)
 
     def schedule(self, due_s: float) -> None:
-        """Have it told by a time."""
+        """Schedule an update for a time, unless an earlier one is scheduled."""
         self._due_s = min(self._due_s, due_s)
         self._wake_for(due_s)
 
-    def add_use_changes(self, near: set[str], far: set[str], now_s: float) -> None:
-        """Note engines of its own failure domain, and others, whose use changed."""
-        self._wake_for(self.uses.add(near, far, now_s))
+    def add_use_changes(self, local: set[str], remote: set[str], now_s: float) -> None:
+        """Add engines whose use changed, split by whether they are in the own failure domain."""
+        self._wake_for(self.uses.add(local, remote, now_s))
 
-    async def wait(self, longest_s: float) -> None:
-        """Wait until something is to be told, at most for a time."""
+    async def wait(self, max_s: float) -> None:
+        """Wait until an update is due or a maximum time has passed."""
         loop = asyncio.get_running_loop()
-        latest_s = loop.time() + longest_s
-        while (until_s := min(latest_s, self.due_s)) > loop.time():
-            self._waits_until_s = until_s
+        deadline_s = loop.time() + max_s
+        while (until_s := min(deadline_s, self.due_s)) > loop.time():
+            self._wait_until_s = until_s
             self._wake.clear()
             try:
                 async with asyncio.timeout_at(until_s):
@@ -103,17 +103,17 @@
                 return
 
     def _wake_for(self, due_s: float) -> None:
-        """Look again where something is to be told sooner than is waited for."""
-        if due_s < self._waits_until_s:
+        """Wake the waiting task if the update is due before its wait ends."""
+        if due_s < self._wait_until_s:
             self._wake.set()
 
     def mark_sent(self) -> None:
-        """Note that it is told everything but uses whose turn has not come."""
+        """Clear the schedule; uses keep their own due time."""
         self._due_s = math.inf
 
 
 def wants(role: NodeRole, item: CatalogItem) -> bool:
-    """Tell whether an item concerns watchers of a role."""
+    """Return whether subscribers of a role need a catalog item."""
     return role is NodeRole.ENTRY or item.key.startswith(STAGER_PREFIXES)
 
 
--- a/src/leadhollow/control/suspect_relay.py
+++ b/src/leadhollow/control/suspect_relay.py
@@ -1,9 +1,10 @@
-"""What entries tell of servers that ended, merged, judged, kept and passed on by one replica.
+"""Merges entries' reports of ended servers, judges the suspected requests and relays the verdicts.
 
-Each replica judges by all that it was told; a verdict is told to all replicas and entries at once,
-and merging makes any order of news do. A replica that lacks something is found by the mark of its
-table, which travels while any table is not empty. Verdicts stand in a file of each replica, since
-a request that ended servers before a loss of power ends servers after it.
+Each replica judges by all reports that it has received, and sends a verdict to all replicas and
+entries at once. Merging gives the same result for any order of messages. Replicas find out that a
+table lacks something by comparing checksums, which they send while a table is not empty. Each
+replica keeps its verdicts in a file, because a request that ended servers before a power loss would
+end servers after it too.
 """
 
 from __future__ import annotations
@@ -30,39 +31,39 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
 
-GATHER_S = 0.003  # what several entries tell of the same end travels together
+BATCH_WINDOW_S = 0.003  # reports of several entries on the same end are sent together
 REFRESH_S = 1.0  # how often replicas compare their tables
-WHOLE_PAUSE_S = 2.0  # between two whole tables to the same replica
-JUDGE_MARGIN_S = 0.005  # after ends have settled
+FULL_TABLE_INTERVAL_S = 2.0  # minimum time between two full tables to the same replica
+JUDGE_DELAY_MARGIN_S = 0.005  # added to the time at which ends have settled
 
 log = get_logger("quarantine")
 
 
 class SuspectRelay(BatchingService):
-    """Table of suspects of one control replica.
+    """Suspect table of one control replica, synchronised with other replicas and entries.
 
     Parameters
     ----------
     own_address
-        Where other replicas reach us.
+        Wire address of this replica.
     replicas
-        Gives the addresses of all replicas.
+        Returns the addresses of all replicas.
     folder
-        Where verdicts are kept over a restart; None to keep none.
+        Folder of the file that keeps verdicts across restarts; None to keep none.
     """
 
     __slots__ = (
         "_changed",
         "_disk",
         "_folder",
-        "_judging",
+        "_full_table_sent_s",
+        "_judge_scheduled",
         "_listeners",
         "_own_address",
         "_peers",
         "_replicas",
         "_saving",
         "_unsaved",
-        "_whole_s",
         "table",
     )
 
@@ -83,17 +84,17 @@
         self._saving: asyncio.Task[None] | None = None
         self._unsaved = False
         self._changed = SuspectChanges()
-        self._judging = False  # a judgement is to come
-        self._whole_s: dict[str, float] = {}
+        self._judge_scheduled = False  # whether a timer will judge
+        self._full_table_sent_s: dict[str, float] = {}
         self._listeners: list[Callable[[SuspectChanges], None]] = []
         self.table = SuspectTable(clock=asyncio.get_running_loop().time)
-        super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=BATCH_WINDOW_S, refresh_s=REFRESH_S)
         handlers.on_oneway(SuspectNews, self._on_news)
         handlers.on_call(SuspectQuery, self._on_query)
         handlers.on_call(SuspectRelease, self._on_release)
 
     async def start(self) -> Result[None, Failure]:
-        """Take in what was decided before a restart."""
+        """Load the verdicts that were saved before a restart, and start."""
         if self._folder is not None:
             read = partial(load_verdicts, self._folder, _now_s())
             for verdict in await self._disk.run(read):
@@ -101,18 +102,24 @@
         return await super().start()
 
     async def stop(self) -> None:
-        """End, with what is being written."""
+        """Stop after the current write has finished."""
         await super().stop()
         if self._saving is not None:
             await asyncio.wait([self._saving])
         await self._disk.end()
 
     def on_change(self, listener: Callable[[SuspectChanges], None]) -> None:
-        """Call a function with what is news here."""
+        """Register a listener that gets each change of the table."""
         self._listeners.append(listener)
 
     def release(self, fingerprint: bytes, *, operator: str) -> Verdict | None:
-        """Let a request go; None where it is not in quarantine."""
+        """Release a request from quarantine.
+
+        Returns
+        -------
+        Verdict or None
+            The new verdict; None if the request is not in quarantine.
+        """
         lives = self.table.suspected_lives(fingerprint)
         released = self.table.release(fingerprint)
         if released is not None:
@@ -125,13 +132,13 @@
                 number=released.number,
                 operator=operator,
             )
-            self._note(changed)
+            self._record_change(changed)
         return released
 
     async def _on_query(
         self, query: SuspectQuery, connection: Connection
     ) -> Result[SuspectNews, Failure]:
-        return Ok(self._news(all_records(self.table)))
+        return Ok(self._build_message(everything(self.table)))
 
     async def _on_release(
         self, request: SuspectRelease, connection: Connection
@@ -141,51 +148,51 @@
             return Err(Failure(code=Code.FINGERPRINT_UNKNOWN, detail=fingerprint.hex()))
         return Ok(Done())
 
-    def _on_news(self, news: SuspectNews, connection: Connection) -> None:
-        taken = merge_news(self.table, news, _now_s())
-        if taken.is_err():
-            log.warning("news of suspects not taken", failure=str(taken.unwrap_err()))
+    def _on_news(self, message: SuspectNews, connection: Connection) -> None:
+        merged = take_news(self.table, message, _now_s())
+        if merged.is_err():
+            log.warning("message on suspects rejected", failure=str(merged.unwrap_err()))
             return
-        changed = taken.unwrap()
+        changed = merged.unwrap()
         if changed:
-            self._note(changed)
+            self._record_change(changed)
         if changed.lives:
-            self._judge_later()
-        if news.address and int(news.mark or 0) != self.table.checksum():
-            self._tell_everything(news.address)
-
-    def _judge_later(self) -> None:
-        """Judge once the newest end has settled, all that are told of until then together."""
-        if not self._judging:
-            self._judging = True
-            wait_s = self.table.settle_time_left_s() + JUDGE_MARGIN_S
+            self._schedule_judge()
+        if message.address and int(message.mark or 0) != self.table.checksum():
+            self._send_full_table(message.address)
+
+    def _schedule_judge(self) -> None:
+        """Schedule judging for when the newest end has settled, unless it is scheduled already."""
+        if not self._judge_scheduled:
+            self._judge_scheduled = True
+            wait_s = self.table.settle_time_left_s() + JUDGE_DELAY_MARGIN_S
             ActiveTimer(delay_s=wait_s, callback=self._judge)
 
     def _judge(self) -> None:
-        self._judging = False
+        self._judge_scheduled = False
         if self.table.settle_time_left_s() > 0:
-            self._judge_later()
-        made = self.table.update_quarantine()
-        for verdict in made:
+            self._schedule_judge()
+        new_verdicts = self.table.update_quarantine()
+        for verdict in new_verdicts:
             log.warning(
                 "request put in quarantine",
                 fingerprint=verdict.fingerprint.hex(),
                 number=verdict.number,
                 ends=list(verdict.lives),
-                others=[self._others(life) for life in verdict.lives],
+                others=[self._count_others(life) for life in verdict.lives],
             )
-        if made:
+        if new_verdicts:
             changed = SuspectChanges()
-            changed.fingerprints = {verdict.fingerprint for verdict in made}
-            self._note(changed)
+            changed.fingerprints = {verdict.fingerprint for verdict in new_verdicts}
+            self._record_change(changed)
 
-    def _others(self, life: str) -> int:
-        """Count the requests that ran where a server ended, the suspect left out."""
+    def _count_others(self, life: str) -> int:
+        """Return how many other requests ran on a server when it ended."""
         end = self.table.end(life)
         return 0 if end is None else len(end.ran) - 1
 
-    def _note(self, changed: SuspectChanges) -> None:
-        """Have news told, and written down where they are verdicts."""
+    def _record_change(self, changed: SuspectChanges) -> None:
+        """Schedule sending of a change, notify listeners, and save the verdicts if they changed."""
         self._changed.merge(changed)
         self.note_change()
         for listener in self._listeners:
@@ -200,27 +207,27 @@
             self._unsaved = False
             saved = await self._disk.run(partial(save_verdicts, folder, self.table.verdicts()))
             if saved.is_err():
-                log.warning("verdicts not written", failure=str(saved.unwrap_err()))
+                log.warning("verdicts not saved", failure=str(saved.unwrap_err()))
 
-    def _tell_everything(self, address: str) -> None:
+    def _send_full_table(self, address: str) -> None:
         now_s = _now_s()
-        if now_s - self._whole_s.get(address, float("-inf")) < WHOLE_PAUSE_S:
+        if now_s - self._full_table_sent_s.get(address, float("-inf")) < FULL_TABLE_INTERVAL_S:
             return
-        self._whole_s[address] = now_s
-        self._peers.post(address, self._news(all_records(self.table)))
+        self._full_table_sent_s[address] = now_s
+        self._peers.post(address, self._build_message(everything(self.table)))
 
     async def _publish(self, *, whole: bool) -> None:
-        """Tell the other replicas what is news, or which table this one has."""
+        """Send changes to the other replicas, or at a refresh the checksum of the table."""
         if whole:
             self.table.expire()
         if not self._changed and (not whole or self.table.empty):
             return
-        news = self._news(self._changed.pop_all())
+        message = self._build_message(self._changed.pop_all())
         for address in self._replicas():
             if address != self._own_address:
-                self._peers.post(address, news)
+                self._peers.post(address, message)
 
-    def _news(self, changed: SuspectChanges) -> SuspectNews:
+    def _build_message(self, changed: SuspectChanges) -> SuspectNews:
         return encode_news(self.table, changed, _now_s(), address=self._own_address)
 
 
--- a/src/leadhollow/control/use_aggregator.py
+++ b/src/leadhollow/control/use_aggregator.py
@@ -1,7 +1,7 @@
-"""What all entries have at each engine, and refused lately, summed up for every one of them.
+"""Sums over all entries of their use of each engine and of the requests that they refused lately.
 
-An entry tells its control replica each change at once. Replicas tell each other sums only, so
-what travels grows with the engines of the domain and not with entries times requests.
+An entry reports each change to its control replica at once. Replicas exchange sums only, so the
+traffic between them grows with the number of engines and not with entries times requests.
 """
 
 from __future__ import annotations
@@ -26,47 +26,54 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
 
-RELAY_PAUSE_S = 0.01  # changes within it travel to the other replicas together
+BATCH_WINDOW_S = 0.01  # changes within it are sent to other replicas in one message
 RELAY_BYTES_PER_S = 13_000.0
-"""Of sums to each other replica. Ten engines are told each 20 ms, thirty each 60 ms; entries
-elsewhere hear of these no sooner than each third of a second. Links between regions carry it:
-thirty each 10 ms would be 78 kB/s to each other replica."""
+"""Rate of sums sent to each other replica; ten engines are sent every 20 ms, thirty every 60 ms.
 
-SUM_BYTES = 26.0  # one engine's sum with its address
-REFRESH_S = 0.5  # replicas tell everything again this often
-VALID_S = 1.6  # three refreshes; after it what was told counts no more
+Entries in other failure domains get these updates at most every third of a second anyway. The limit
+protects links between regions: thirty engines every 10 ms would take 78 kB/s per replica."""
+
+TOTAL_BYTES = 26.0  # encoded size of one engine's sum with its address
+REFRESH_S = 0.5  # interval at which a replica sends all its sums again
+VALID_S = 1.6  # three refreshes; reports that are older are dropped
 
 log = get_logger("uses")
 
 
-class _Teller:
-    """What one entry, or one other replica, last told."""
+class _Source:
+    """Last report of one entry or of one other replica."""
 
-    __slots__ = ("_decided_s", "_decisions", "heard_s", "uses")
+    __slots__ = ("_decisions", "_decisions_s", "received_s", "uses")
 
     def __init__(self) -> None:
         self.uses: dict[str, Use] = {}
-        self.heard_s = 0.0
+        self.received_s = 0.0
         self._decisions: dict[str, DecisionCounts] = {}
-        self._decided_s = 0.0
+        self._decisions_s = 0.0
 
-    def take_decisions(self, told: dict[str, DecisionCounts], now_s: float) -> None:
-        """Take what was decided on requests, by service."""
-        self._decisions = told
-        self._decided_s = now_s
+    def set_decisions(self, reported: dict[str, DecisionCounts], now_s: float) -> None:
+        """Replace the counts of decisions on requests, by service."""
+        self._decisions = reported
+        self._decisions_s = now_s
 
     def decisions(self, now_s: float) -> dict[str, DecisionCounts]:
-        """Give what was decided on requests, as it counts now."""
-        age_s = now_s - self._decided_s
-        return {name: found.decayed(age_s) for name, found in self._decisions.items()}
-
-    def take(self, told: dict[str, Use], *, whole: bool, now_s: float) -> dict[str, Use]:
-        """Take what was told; gives what was before at the engines whose use changed."""
-        self.heard_s = now_s
-        touched = self.uses.keys() | told.keys() if whole else told.keys()
+        """Return the counts of decisions, by service, decayed by their age."""
+        age_s = now_s - self._decisions_s
+        return {name: counts.decayed(age_s) for name, counts in self._decisions.items()}
+
+    def update(self, reported: dict[str, Use], *, whole: bool, now_s: float) -> dict[str, Use]:
+        """Apply a report.
+
+        Returns
+        -------
+        dict of str to Use
+            Previous use of each engine whose use changed, by address.
+        """
+        self.received_s = now_s
+        touched = self.uses.keys() | reported.keys() if whole else reported.keys()
         before = {address: self.uses.get(address, NO_USE) for address in touched}
         for address in touched:
-            use = told.get(address, NO_USE)
+            use = reported.get(address, NO_USE)
             if use.is_empty:
                 self.uses.pop(address, None)
             else:
@@ -76,8 +83,8 @@
         }
 
 
-class _Sums:
-    """What several tellers have at each engine, kept up to date as they tell it."""
+class _Totals:
+    """Sums of the use of each engine over several sources, updated incrementally."""
 
     __slots__ = ("_uses",)
 
@@ -88,15 +95,15 @@
         return self._uses.get(address, NO_USE)
 
     def addresses(self) -> set[str]:
-        """Give the engines at which anybody has something."""
+        """Return the addresses of the engines that are in use."""
         return set(self._uses)
 
     def change(self, address: str, *, before: Use, after: Use) -> None:
-        """Take in that one of the tellers has something else at an engine."""
-        found = self[address]
+        """Replace the use that one source contributes to an engine."""
+        current = self[address]
         total = Use(
-            requests=found.requests + after.requests - before.requests,
-            unread_tokens=found.unread_tokens + after.unread_tokens - before.unread_tokens,
+            requests=current.requests + after.requests - before.requests,
+            unread_tokens=current.unread_tokens + after.unread_tokens - before.unread_tokens,
         )
         if total.is_empty:
             self._uses.pop(address, None)
@@ -105,27 +112,27 @@
 
 
 class UseAggregator(BatchingService):
-    """Sums of what entries have at engines.
+    """Sums of the use of engines over all entries.
 
     Parameters
     ----------
     own_address
-        Where other replicas reach us.
+        Wire address of this replica.
     replicas
-        Gives the addresses of all replicas.
+        Returns the addresses of all replicas.
     """
 
     __slots__ = (
-        "_dirty",
-        "_elsewhere",
-        "_entries",
-        "_here",
+        "_changed",
+        "_last_sent",
         "_listeners",
+        "_local_sources",
+        "_local_totals",
         "_own_address",
         "_peers",
-        "_relayed",
+        "_remote_sources",
+        "_remote_totals",
         "_replicas",
-        "_tellers",
     )
 
     def __init__(
@@ -139,84 +146,93 @@
         self._own_address = own_address
         self._replicas = replicas
         self._peers = peers
-        self._entries: dict[str, _Teller] = {}
-        self._tellers: dict[str, _Teller] = {}
-        self._here = _Sums()  # of entries that report here
-        self._elsewhere = _Sums()  # of those that report to other replicas
-        self._relayed = 0  # engines whose sums were told last
-        self._dirty: set[str] = set()
+        self._local_sources: dict[str, _Source] = {}
+        self._remote_sources: dict[str, _Source] = {}
+        self._local_totals = _Totals()  # over entries that report to this replica
+        self._remote_totals = _Totals()  # over those that report to other replicas
+        self._last_sent = 0  # number of engines in the last message
+        self._changed: set[str] = set()
         self._listeners: list[Callable[[set[str], str], None]] = []
-        super().__init__(batch_window_s=RELAY_PAUSE_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=BATCH_WINDOW_S, refresh_s=REFRESH_S)
         handlers.on_oneway(UseReport, self._on_report)
         handlers.on_oneway(UseTotals, self._on_totals)
 
     def on_change(self, listener: Callable[[set[str], str], None]) -> None:
-        """Call a function with the engines whose use changed, and the entry that told so."""
+        """Register a listener for changed use.
+
+        It gets the addresses of the engines and the VM of the entry that reported the change. The
+        VM is empty for changes from other replicas and for reports that expired.
+        """
         self._listeners.append(listener)
 
     def engines(self) -> set[str]:
-        """Give the engines at which any entry has something."""
-        return self._here.addresses() | self._elsewhere.addresses()
+        """Return the addresses of the engines that any entry uses."""
+        return self._local_totals.addresses() | self._remote_totals.addresses()
 
     def total(self, address: str, *, excluding: str = "") -> Use:
-        """Sum up what entries have at an engine, one of them left out."""
-        here = self._here[address]
-        elsewhere = self._elsewhere[address]
-        teller = self._entries.get(excluding)
-        own = NO_USE if teller is None else teller.uses.get(address, NO_USE)
+        """Return the use of an engine summed over all entries but one."""
+        local = self._local_totals[address]
+        remote = self._remote_totals[address]
+        source = self._local_sources.get(excluding)
+        excluded = NO_USE if source is None else source.uses.get(address, NO_USE)
         return Use(
-            requests=here.requests + elsewhere.requests - own.requests,
-            unread_tokens=here.unread_tokens + elsewhere.unread_tokens - own.unread_tokens,
+            requests=local.requests + remote.requests - excluded.requests,
+            unread_tokens=local.unread_tokens + remote.unread_tokens - excluded.unread_tokens,
         )
 
     def decisions(self, *, excluding: str = "") -> dict[str, DecisionCounts]:
-        """Sum up what entries decided lately, one of them left out, by service."""
+        """Return the recent decisions summed over all entries but one, by service."""
         now_s = asyncio.get_running_loop().time()
-        tellers = [teller for vm, teller in self._entries.items() if vm != excluding]
-        return _sum_decisions([*tellers, *self._tellers.values()], now_s)
+        sources = [source for vm, source in self._local_sources.items() if vm != excluding]
+        return _merge_decisions([*sources, *self._remote_sources.values()], now_s)
 
     def remove_entry(self, vm: str) -> None:
-        """Drop what an entry told: it follows another replica now, or has ended."""
-        teller = self._entries.pop(vm, None)
-        if teller is None:
+        """Drop the reports of an entry that follows another replica now or has ended."""
+        source = self._local_sources.pop(vm, None)
+        if source is None:
             return
-        changed = self._drop(teller, self._here)
-        self._dirty |= changed
+        changed = self._drop(source, self._local_totals)
+        self._changed |= changed
         self.note_change()
-        self._tell_here(changed, vm)
+        self._notify_listeners(changed, vm)
 
     def expire(self, *, silence_s: Callable[[float], float]) -> None:
-        """Drop what was told too long ago.
+        """Drop reports that are older than ``VALID_S``.
 
         Parameters
         ----------
         silence_s
-            Gives for how long whoever told something last at a time has been silent.
+            Returns for how long a source has been silent, given the time of its last report.
         """
-        for tellers, sums in ((self._entries, self._here), (self._tellers, self._elsewhere)):
-            for name, teller in list(tellers.items()):
-                if silence_s(teller.heard_s) > VALID_S:
-                    del tellers[name]
-                    self._tell_here(self._drop(teller, sums), "")
+        for sources, totals in (
+            (self._local_sources, self._local_totals),
+            (self._remote_sources, self._remote_totals),
+        ):
+            for name, source in list(sources.items()):
+                if silence_s(source.received_s) > VALID_S:
+                    del sources[name]
+                    self._notify_listeners(self._drop(source, totals), "")
 
     def batch_window_s(self) -> float:
-        """Give how long changes are gathered, the longer the more were told last."""
-        return max(RELAY_PAUSE_S, self._relayed * SUM_BYTES / RELAY_BYTES_PER_S)
+        """Return the batch window, which grows with the size of the last message."""
+        return max(BATCH_WINDOW_S, self._last_sent * TOTAL_BYTES / RELAY_BYTES_PER_S)
 
     async def _publish(self, *, whole: bool) -> None:
-        """Tell the other replicas the sums over the entries that report here."""
+        """Send the sums over the entries that report to this replica to the other replicas."""
         if whole:
-            self.expire(silence_s=active_time.active_since_s)
-        dirty, self._dirty = self._dirty, set()
+            self.expire(silence_s=active_time.heard_since_s)
+        changed, self._changed = self._changed, set()
         if whole:
-            dirty = self._here.addresses()
-        if not dirty and not whole:
+            changed = self._local_totals.addresses()
+        if not changed and not whole:
             return
-        self._relayed = len(dirty)
-        engines, uses = encode_uses({address: self._here[address] for address in sorted(dirty)})
+        self._last_sent = len(changed)
+        engines, uses = encode_uses(
+            {address: self._local_totals[address] for address in sorted(changed)}
+        )
         now_s = asyncio.get_running_loop().time()
-        decided = encode_decisions(_sum_decisions(self._entries.values(), now_s))
-        totals = UseTotals(self._own_address, engines, uses, whole, decided)
+        decision_records = encode_decisions(_merge_decisions(self._local_sources.values(), now_s))
+        totals = UseTotals(self._own_address, engines, uses, whole, decision_records)
         for address in self._replicas():
             if address != self._own_address:
                 self._peers.post(address, totals)
@@ -225,49 +241,49 @@
         if connection.hello is None:
             return
         vm = connection.hello.vm
-        teller = self._entries.setdefault(vm, _Teller())
-        changed = self._take(teller, report, self._here)
-        self._dirty |= changed
+        source = self._local_sources.setdefault(vm, _Source())
+        changed = self._merge(source, report, self._local_totals)
+        self._changed |= changed
         if changed:
             self.note_change()
-        self._tell_here(changed, vm)
+        self._notify_listeners(changed, vm)
 
     def _on_totals(self, totals: UseTotals, connection: Connection) -> None:
-        teller = self._tellers.setdefault(totals.address, _Teller())
-        self._tell_here(self._take(teller, totals, self._elsewhere), "")
+        source = self._remote_sources.setdefault(totals.address, _Source())
+        self._notify_listeners(self._merge(source, totals, self._remote_totals), "")
 
-    def _take(self, teller: _Teller, told: UseReport | UseTotals, sums: _Sums) -> set[str]:
-        decoded = decode_uses(told.engines, told.uses)
+    def _merge(self, source: _Source, reported: UseReport | UseTotals, totals: _Totals) -> set[str]:
+        decoded = decode_uses(reported.engines, reported.uses)
         if decoded.is_err():
             log.warning("uses not understood", failure=str(decoded.unwrap_err()))
             return set()
         now_s = asyncio.get_running_loop().time()
-        if told.decisions is not None:
-            teller.take_decisions(decode_decisions(told.decisions), now_s)
-        changed = teller.take(decoded.unwrap(), whole=bool(told.whole), now_s=now_s)
+        if reported.decisions is not None:
+            source.set_decisions(decode_decisions(reported.decisions), now_s)
+        changed = source.update(decoded.unwrap(), whole=bool(reported.whole), now_s=now_s)
         for address, before in changed.items():
-            sums.change(address, before=before, after=teller.uses.get(address, NO_USE))
+            totals.change(address, before=before, after=source.uses.get(address, NO_USE))
         return set(changed)
 
-    def _drop(self, teller: _Teller, sums: _Sums) -> set[str]:
-        """Take what a teller told out of the sums; gives the engines that it concerns."""
-        for address, use in teller.uses.items():
-            sums.change(address, before=use, after=NO_USE)
-        return set(teller.uses)
+    def _drop(self, source: _Source, totals: _Totals) -> set[str]:
+        """Subtract a source from the sums; return the addresses of the engines that it used."""
+        for address, use in source.uses.items():
+            totals.change(address, before=use, after=NO_USE)
+        return set(source.uses)
 
-    def _tell_here(self, changed: set[str], vm: str) -> None:
+    def _notify_listeners(self, changed: set[str], vm: str) -> None:
         if not changed:
             return
         for listener in self._listeners:
             listener(changed, vm)
 
 
-def _sum_decisions(tellers: Iterable[_Teller], now_s: float) -> dict[str, DecisionCounts]:
+def _merge_decisions(sources: Iterable[_Source], now_s: float) -> dict[str, DecisionCounts]:
     total: dict[str, DecisionCounts] = {}
-    for teller in tellers:
-        for name, found in teller.decisions(now_s).items():
-            total.setdefault(name, DecisionCounts()).add(found)
+    for source in sources:
+        for name, counts in source.decisions(now_s).items():
+            total.setdefault(name, DecisionCounts()).add(counts)
     return total
 
 
-__all__ = ["EngineUses"]
+__all__ = ["UseAggregator"]
--- a/src/leadhollow/control/use_updates.py
+++ b/src/leadhollow/control/use_updates.py
@@ -1,8 +1,9 @@
-"""What one watcher has not been told yet of what others have at engines, near ones before far ones.
+"""Pending updates of engine use for one subscriber, with separate rate limits by failure domain.
 
-An entry sends most of its requests to engines of its own failure domain, and the older its view of
-these, the more entries choose the same one. How many engines there are in a domain does not grow
-with the fleet, so news of them travel at once at any size; news of all others share what is left.
+An entry sends most of its requests to engines of its own failure domain. The older its view of
+these engines, the more entries choose the same one. The number of engines in a domain does not grow
+with the fleet, so their updates are sent promptly at any fleet size. Updates of all other engines
+share a lower rate.
 """
 
 from __future__ import annotations
@@ -14,93 +15,95 @@
 from leadhollow.membership.packed_uses import pack_uses
 from leadhollow.membership.uses import Use
 
-USE_BYTES = 3.0  # one engine's use as it is packed
-GATHER_S = 0.02
-"""News within it travel together; an entry's view of what others placed is about half as old."""
+USE_BYTES = 3.0  # packed size of one engine's use
+BATCH_WINDOW_S = 0.02
+"""Changes within it are sent together; the view of an entry is on average half as old."""
 
 LOCAL_DOMAIN_BYTES_PER_S = 1_500.0
 REMOTE_DOMAINS_BYTES_PER_S = 700.0
-"""Together about half of the 4,000 B/s that control may send to a daemon: engines of a domain of 20
-are told each 40 ms, 80 engines elsewhere each 0.34 s."""
+"""The two rates take about half of the 4,000 B/s that control may send to a daemon.
 
+The 20 engines of a domain are updated every 40 ms, 80 engines of other domains every 0.34 s."""
 
-class _Lane:
-    """News that are told no faster than a rate.
+
+class _RateLimitedQueue:
+    """Engines with pending updates, sent no faster than a rate.
 
     Parameters
     ----------
     bytes_per_s
-        Of uses as they are packed.
+        Rate of packed uses.
     """
 
-    __slots__ = ("_bytes_per_s", "_due_s", "_free_s", "_pending")
+    __slots__ = ("_bytes_per_s", "_due_s", "_next_send_s", "_pending")
 
     def __init__(self, *, bytes_per_s: float) -> None:
         self._bytes_per_s = bytes_per_s
         self._pending: set[str] = set()
-        self._free_s = 0.0  # until then what was told last takes its time
+        self._next_send_s = 0.0  # when the rate allows the next update
         self._due_s = math.inf
 
     @property
     def due_s(self) -> float:
-        """Time at which these news are to be told; infinite where there are none."""
+        """Time at which the pending updates are due; infinite if there are none."""
         return self._due_s
 
     def add(self, addresses: Iterable[str], now_s: float) -> float:
-        """Note engines whose use changed; give when they are to be told."""
+        """Add engines whose use changed; return the time at which they are due."""
         self._pending.update(addresses)
         if self._pending and self._due_s == math.inf:
-            self._due_s = max(now_s + GATHER_S, self._free_s)
+            self._due_s = max(now_s + BATCH_WINDOW_S, self._next_send_s)
         return self._due_s
 
     def take(self, now_s: float) -> set[str]:
-        """Give the engines whose turn has come."""
-        if now_s < self._free_s - TIMER_RESOLUTION_S:
+        """Remove and return the pending engines if the rate allows an update now."""
+        if now_s < self._next_send_s - TIMER_RESOLUTION_S:
             return set()
         taken, self._pending = self._pending, set()
-        self._free_s = now_s + len(taken) * USE_BYTES / self._bytes_per_s
+        self._next_send_s = now_s + len(taken) * USE_BYTES / self._bytes_per_s
         self._due_s = math.inf
         return taken
 
 
 class UseUpdateQueue:
-    """News of uses for one watcher."""
+    """Pending updates of engine use for one subscriber."""
 
-    __slots__ = ("_addresses", "_far", "_near", "_numbers", "_told")
+    __slots__ = ("_addresses", "_announced", "_local", "_numbers", "_remote")
 
     def __init__(self) -> None:
-        self._near = _Lane(bytes_per_s=LOCAL_DOMAIN_BYTES_PER_S)
-        self._far = _Lane(bytes_per_s=REMOTE_DOMAINS_BYTES_PER_S)
-        self._addresses: list[str] = []  # by the numbers that stand for them on this feed
+        self._local = _RateLimitedQueue(bytes_per_s=LOCAL_DOMAIN_BYTES_PER_S)
+        self._remote = _RateLimitedQueue(bytes_per_s=REMOTE_DOMAINS_BYTES_PER_S)
+        self._addresses: list[str] = []  # indexed by the number of the engine on this feed
         self._numbers: dict[str, int] = {}
-        self._told = 0  # engines whose number the watcher knows
+        self._announced = 0  # count of addresses that the subscriber has
 
     @property
     def due_s(self) -> float:
-        """Time at which something is to be told; infinite where there is nothing."""
-        return min(self._near.due_s, self._far.due_s)
+        """Time at which an update is due; infinite if nothing is pending."""
+        return min(self._local.due_s, self._remote.due_s)
 
-    def add(self, near: Iterable[str], far: Iterable[str], now_s: float) -> float:
-        """Note engines whose use changed; give when the first of them are to be told."""
-        return min(self._near.add(near, now_s), self._far.add(far, now_s))
+    def add(self, local: Iterable[str], remote: Iterable[str], now_s: float) -> float:
+        """Add engines whose use changed; return the time at which the first of them are due."""
+        return min(self._local.add(local, now_s), self._remote.add(remote, now_s))
 
     def take(self, use_of: Callable[[str], Use], now_s: float) -> tuple[list[str], bytes]:
-        """Give what is to be told now.
+        """Remove the updates that are due now and encode them.
 
         Parameters
         ----------
         use_of
-            Gives what others have at an engine now.
+            Returns the current use of an engine by other entries.
 
         Returns
         -------
         tuple
-            Addresses of engines that the watcher has no number for yet, and the packed uses.
+            Addresses of engines that are new on this feed, in the order of their numbers, and the
+            packed uses.
         """
-        told = self._near.take(now_s) | self._far.take(now_s)
-        uses = {self._number(address): use_of(address) for address in sorted(told)}
-        fresh, self._told = self._addresses[self._told :], len(self._addresses)
-        return fresh, pack_uses(uses)
+        taken = self._local.take(now_s) | self._remote.take(now_s)
+        uses = {self._number(address): use_of(address) for address in sorted(taken)}
+        new_addresses, self._announced = self._addresses[self._announced :], len(self._addresses)
+        return new_addresses, pack_uses(uses)
 
     def _number(self, address: str) -> int:
         number = self._numbers.get(address)
@@ -110,4 +113,10 @@
         return number
 
 
-__all__ = ["FAR_BYTES_PER_S", "GATHER_S", "NEAR_BYTES_PER_S", "USE_BYTES", "UseNews"]
+__all__ = [
+    "BATCH_WINDOW_S",
+    "LOCAL_DOMAIN_BYTES_PER_S",
+    "REMOTE_DOMAINS_BYTES_PER_S",
+    "USE_BYTES",
+    "UseUpdateQueue",
+]
--- a/src/leadhollow/control/verdict_file.py
+++ b/src/leadhollow/control/verdict_file.py
@@ -1,4 +1,4 @@
-"""The verdicts of a control replica in a file of its own, for the time after a loss of power."""
+"""File that keeps the verdicts of a control replica across a power loss."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 log = get_logger("quarantine")
 
 
-class _Kept(msgspec.Struct, frozen=True):
-    """One verdict as it is written."""
+class _StoredVerdict(msgspec.Struct, frozen=True):
+    """One verdict as it is stored."""
 
     fingerprint: str
     number: int
@@ -27,28 +27,29 @@
     lives: tuple[str, ...]
 
 
-_decoder = msgspec.json.Decoder(tuple[_Kept, ...])
+_decoder = msgspec.json.Decoder(tuple[_StoredVerdict, ...])
 
 
 def save_verdicts(folder: Path, verdicts: Iterable[Verdict]) -> Result[None, Failure]:
-    """Write all verdicts, so that a crash leaves the old file or the new one.
+    """Write all verdicts atomically: after a crash the file has the old or the new content.
 
     Errors
     ------
     DISK_FAILED
         The disk refused a write or a sync.
     """
-    kept = tuple(
-        _Kept(found.fingerprint.hex(), found.number, found.released, found.lives)
-        for found in verdicts
+    stored = tuple(
+        _StoredVerdict(verdict.fingerprint.hex(), verdict.number, verdict.released, verdict.lives)
+        for verdict in verdicts
     )
-    return replace_file(folder / FILE_NAME, msgspec.json.encode(kept))
+    return replace_file(folder / FILE_NAME, msgspec.json.encode(stored))
 
 
 def load_verdicts(folder: Path, now_s: float) -> list[Verdict]:
-    """Read the verdicts; none where there is no file, or it cannot be read.
+    """Read the verdicts; return none if the file is missing or unreadable.
 
-    A damaged file must not keep a replica from starting: entries and other replicas tell the rest.
+    A damaged file must not keep a replica from starting. Entries and other replicas resend their
+    verdicts.
     """
     read = read_file(folder / FILE_NAME)
     if read.is_err():
@@ -58,19 +59,19 @@
     if payload is None:
         return []
     try:
-        kept = _decoder.decode(payload)
+        stored = _decoder.decode(payload)
         return [
             Verdict(
-                fingerprint=bytes.fromhex(found.fingerprint),
-                number=found.number,
-                released=found.released,
-                lives=found.lives,
+                fingerprint=bytes.fromhex(verdict.fingerprint),
+                number=verdict.number,
+                released=verdict.released,
+                lives=verdict.lives,
                 since_s=now_s,
             )
-            for found in kept
+            for verdict in stored
         ]
-    except ValueError as error:  # of msgspec too
-        log.warning("verdicts not understood", error=str(error))
+    except ValueError as error:  # the base class of msgspec errors too
+        log.warning("verdict file malformed", error=str(error))
         return []
 
 
--- a/src/leadhollow/control/version_ages.py
+++ b/src/leadhollow/control/version_ages.py
@@ -1,7 +1,7 @@
-"""How long ago versions were named, as the control replicas together know it.
+"""Tracks how long ago versions were named, and shares this between control replicas.
 
-A replica knows a naming's time only where it takes it in while a majority confirms that it is up to
-date. One that starts, or was cut off, takes it from the others.
+A replica knows the time of a naming only if it applies the naming while a majority confirms that
+the replica is up to date. A replica that starts or was cut off gets the time from the others.
 """
 
 from __future__ import annotations
@@ -18,35 +18,35 @@
 from leadhollow.state.weights_versions import VERSIONS_KEPT, versions_of
 from leadhollow.weights.named import NamedVersion
 
-MAX_CONFIRMATION_AGE_MS = 500  # a replica that is in touch is confirmed about five times in it
+MAX_CONFIRMATION_AGE_MS = 500  # a connected replica is confirmed every 200 ms
 
 
 class VersionAgeTracker:
-    """Notes namings on one control replica.
+    """Records when versions are named, on one control replica.
 
     Attributes
     ----------
     times
-        What is known, for others too.
+        Known naming times; other services read and extend them.
     """
 
     __slots__ = ("_catalog", "_confirmation", "times")
 
-    def __init__(self, *, catalog: Catalog, confirmation: Confirmation) -> None:
+    def __init__(self, *, catalog: Catalog, confirmation: ConfirmationMonitor) -> None:
         self._catalog = catalog
         self._confirmation = confirmation
         self.times = NamingTimes(clock=asyncio.get_running_loop().time)
         catalog.on_change(self._on_change)
 
     async def start(self) -> Result[None, Failure]:
-        """Nothing to begin: namings come with the catalog."""
+        """Do nothing; namings arrive with catalog changes."""
         return Ok(None)
 
     async def drain(self) -> None:
-        """Nothing is in progress."""
+        """Do nothing; no work is in progress."""
 
     async def stop(self) -> None:
-        """Nothing to end."""
+        """Do nothing; there is no task to stop."""
 
     def _on_change(self, items: list[CatalogItem]) -> None:
         if not 0 <= self._confirmation.age_ms() < MAX_CONFIRMATION_AGE_MS:
@@ -57,8 +57,8 @@
                 self._forget(item.value.model)
 
     def _forget(self, model: str) -> None:
-        kept = versions_of(self._catalog, model)[:VERSIONS_KEPT]
-        self.times.forget(model, min(found.number for found in kept))
+        recent = versions_of(self._catalog, model)[:VERSIONS_KEPT]
+        self.times.forget(model, min(version.number for version in recent))
 
 
-__all__ = ["VersionAges"]
+__all__ = ["VersionAgeTracker"]
--- a/src/leadhollow/routing/__init__.py
+++ b/src/leadhollow/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The route table: which hosts and paths go to which services, for which groups."""
+"""Route tables, which map hosts and paths of requests to services, and keys to groups."""
--- a/src/leadhollow/routing/catalog_items.py
+++ b/src/leadhollow/routing/catalog_items.py
@@ -1,4 +1,4 @@
-"""A route table as items of the catalog, so that a change travels as what it changes."""
+"""Converts a route table to catalog items, so that only changed items are sent on an update."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def table_values(table: RouteTable) -> dict[str, CatalogValue]:
-    """Give every item of a table by its key."""
+    """Return the values of all catalog items of a table, by key."""
     values: dict[str, CatalogValue] = {
         TABLE_KEY: TableNumber(number=table.number, keyed=table.keyed),
         LIMITS_KEY: table.limits,
@@ -30,41 +30,41 @@
 
 
 def changed_items(
-    table: RouteTable, held: dict[str, CatalogItem], *, revision: int
+    table: RouteTable, current: dict[str, CatalogItem], *, revision: int
 ) -> list[CatalogItem]:
-    """Compare a table with what is held.
+    """Return the items that turn the current catalog into a new table.
 
     Parameters
     ----------
-    held
-        Items of the catalog by key.
+    current
+        Current items of the catalog by key.
     revision
-        Revision of what changes.
+        Revision of the changed items.
 
     Returns
     -------
     list of CatalogItem
-        Items that are new or different, and those that are gone, without a value.
+        New and changed items, then removed ones, which have no value.
     """
     values = table_values(table)
     changed = [
         CatalogItem(key=key, revision=revision, value=value)
         for key, value in values.items()
-        if key not in held or held[key].value != value
+        if key not in current or current[key].value != value
     ]
-    gone = [
+    removed = [
         CatalogItem(key=key, revision=revision, value=None)
-        for key, item in held.items()
+        for key, item in current.items()
         if key.startswith(_PREFIXES) and key not in values and item.value is not None
     ]
-    return changed + gone
+    return changed + removed
 
 
 def accepts_service(catalog: Catalog, name: str) -> bool:
-    """Tell whether the table in force names a service; without any table every one may come."""
+    """Return whether the table in force has a service; without a table, any service is accepted."""
     if catalog.item(TABLE_KEY) is None:
         return True
     return catalog.value(f"{SERVICE_PREFIX}{name}", ServiceRecord) is not None
 
 
-__all__ = ["LIMITS_KEY", "TABLE_KEY", "changed_items", "names_service", "table_values"]
+__all__ = ["LIMITS_KEY", "TABLE_KEY", "accepts_service", "changed_items", "table_values"]
--- a/src/leadhollow/routing/index.py
+++ b/src/leadhollow/routing/index.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request and the group of a key."""
+"""Index of the route table that finds the route of a request and the group of a key."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 class _HostRoutes:
-    """Routes of one host by their prefix; a look-up costs as many steps as lengths are in use."""
+    """Routes of one host by path prefix.
+
+    A look-up takes one step for each distinct prefix length.
+    """
 
     __slots__ = ("_by_prefix", "_lengths", "_longest_first")
 
@@ -30,27 +33,27 @@
         self._lengths: Counter[int] = Counter()
         self._longest_first: list[int] = []
 
-    def put(self, route: Route) -> None:
-        """Take a route in."""
+    def add(self, route: Route) -> None:
+        """Add a route, replacing one with the same prefix."""
         if route.path_prefix not in self._by_prefix:
-            self._count(len(route.path_prefix), 1)
+            self._adjust_length_count(len(route.path_prefix), 1)
         self._by_prefix[route.path_prefix] = route
 
     def remove(self, route: Route) -> None:
-        """Leave a route out, unless another one has its place by now."""
+        """Remove a route unless another one has replaced it."""
         if self._by_prefix.get(route.path_prefix) is route:
             del self._by_prefix[route.path_prefix]
-            self._count(len(route.path_prefix), -1)
+            self._adjust_length_count(len(route.path_prefix), -1)
 
     def find(self, path: str) -> Route | None:
-        """Find the route with the longest prefix of a path."""
+        """Return the route with the longest matching prefix, None if no route matches."""
         for length in self._longest_first:
             found = self._by_prefix.get(path[:length])
             if found is not None:
                 return found
         return None
 
-    def _count(self, length: int, change: int) -> None:
+    def _adjust_length_count(self, length: int, change: int) -> None:
         self._lengths[length] += change
         if self._lengths[length] <= 0:
             del self._lengths[length]
@@ -59,14 +62,14 @@
 
 
 class RouteIndex:
-    """The route table of a catalog, kept ready for look-ups.
+    """Look-up index over the route table of a catalog.
 
-    A change costs as much as it changes, whatever the size of the table.
+    The cost of an update depends on the number of changed items, not on the size of the table.
 
     Parameters
     ----------
     catalog
-        Its changes are followed; all items of one update are taken together.
+        Catalog whose changes update the index; all items of one update are applied together.
     """
 
     __slots__ = (
@@ -81,7 +84,7 @@
 
     def __init__(self, *, catalog: Catalog) -> None:
         self._by_host: dict[str, _HostRoutes] = {}
-        self._by_key: dict[str, CatalogValue] = {}  # what was taken in, by the item's key
+        self._by_key: dict[str, CatalogValue] = {}  # indexed values by the key of their item
         self._organisations: dict[str, Organisation] = {}
         self.services: dict[str, ServiceRecord] = {}
         self.limits = CallerLimits()
@@ -92,27 +95,31 @@
 
     @property
     def has_table(self) -> bool:
-        """Whether any table has been received."""
+        """Whether a route table has been received."""
         return TABLE_KEY in self._by_key
 
     def route(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix of a path."""
+        """Return the route with the longest matching prefix, None if no route matches."""
         routes = self._by_host.get(host.lower())
         return None if routes is None else routes.find(path)
 
     def organisation(self, key: str) -> Organisation | None:
-        """Find the group that holds a key."""
+        """Return the group of a key, None if the key is unknown."""
         return self._organisations.get(hashlib.sha256(key.encode()).hexdigest())
 
     def _on_change(self, items: list[CatalogItem]) -> None:
-        """Leave all former values out before new ones come in: a key may go to another group."""
+        """Apply changed items.
+
+        All previous values are removed before new ones are added, because a key may move from one
+        group to another.
+        """
         for item in items:
-            former = self._by_key.pop(item.key, None)
-            if former is not None:
-                self._leave_out(former)
+            previous = self._by_key.pop(item.key, None)
+            if previous is not None:
+                self._leave_out(previous)
         for item in items:
             if item.value is not None:
-                self._take_in(item.key, item.value)
+                self._add(item.key, item.value)
         if any(item.key == TABLE_KEY for item in items):
             log.info("route table in force", number=self.number, items=len(items))
 
@@ -126,10 +133,10 @@
                 for key in value.key_sha256s:
                     self._organisations.pop(key, None)
 
-    def _take_in(self, key: str, value: CatalogValue) -> None:
+    def _add(self, key: str, value: CatalogValue) -> None:
         match value:
             case Route():
-                self._by_host.setdefault(value.host.lower(), _HostRoutes()).put(value)
+                self._by_host.setdefault(value.host.lower(), _HostRoutes()).add(value)
             case ServiceRecord():
                 self.services[value.name] = value
             case Organisation():
--- a/src/leadhollow/routing/model.py
+++ b/src/leadhollow/routing/model.py
@@ -1,4 +1,4 @@
-"""What a route table consists of."""
+"""Data model of route tables."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class CallKind(Enum):
-    """What may be repeated.
+    """Kind of the requests of a route, which decides whether they may be repeated.
 
-    A stream may be repeated only on a route that lets it be resumed.
+    A stream may be repeated only if its route allows resuming it.
     """
 
     IDEMPOTENT = "idempotent"
@@ -19,33 +19,33 @@
 
 
 class Target(msgspec.Struct, frozen=True, kw_only=True):
-    """A service that a route leads to, and its part of the route's requests."""
+    """Service that a route sends requests to, with the weight of its share."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True, tag="route"):
-    """Where the requests of one host and path prefix go.
+    """Rule that sends the requests of one host and path prefix to services.
 
     Parameters
     ----------
     path_prefix
         Begins and ends with a slash.
     timeout_ms
-        Longest time that a caller is kept waiting.
+        Maximum time that a caller waits.
     objective_ms
-        Time within which an answer, or the first event of a stream, is on time.
+        Time within which a response, or the first event of a stream, is on time.
     pause_objective_ms
-        Longest pause between events of a stream that is on time; 0 where none is declared.
+        Maximum pause between the events of a stream that is on time; 0 if none is declared.
     priority
         0 is the most urgent.
     attempts
-        Most backend servers on which one request may run.
+        Maximum number of backend servers on which one request may run.
     public
-        Whether no key is asked for.
+        Whether requests need no key.
     affinity
-        Whether requests name prompt parts that some backend server may hold.
+        Whether requests name parts of their prompt that a backend server may have cached.
     """
 
     name: str
@@ -71,28 +71,28 @@
 
 
 class EngineSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """How a model engine spends its time, as its operator declares it.
+    """Performance model of an engine, as declared by its operator.
 
     Parameters
     ----------
     slots
-        Requests of a batch.
+        Maximum number of requests in a batch.
     memory_tokens
-        Prompt and output tokens that its memory holds.
+        Number of prompt and output tokens that fit in its memory.
     stride_steps
-        Steps of one pass, so tokens of one event.
+        Steps of one pass, which is also the number of tokens of one event.
     step_ms, sequence_ms, context_ms_per_k
-        Time of a step: fixed, for each running request, for each 1,000 tokens of context.
+        Time of a step: fixed part, per running request, and per 1,000 tokens of context.
     read_tokens_per_s, pair_ms_per_million, chunk_tokens
-        Reading of prompts: speed, cost of attention, most tokens in one step.
+        Prefill of prompts: speed, cost of attention, and maximum tokens in one step.
     load_s
-        Seconds that a whole model takes to load, by its name.
+        Time to load a whole model, in seconds, by model name.
     layers, chunks, chunk_bytes
-        How a model's weights are divided.
+        How the weights of a model are divided.
     report_lag_ms
-        Age of what an engine reports over the network.
+        Age of the reports of an engine when they arrive.
     usual_prompt_tokens, usual_answer_tokens
-        Mean sizes.
+        Mean sizes of prompts and responses.
     """
 
     slots: int
@@ -114,16 +114,16 @@
 
 
 class ServiceRecord(msgspec.Struct, frozen=True, kw_only=True, tag="service"):
-    """A service and what its backend servers can bear.
+    """A service and the capacity of its backend servers.
 
     Parameters
     ----------
     connections
-        Most connections that one backend server accepts from all callers together.
+        Maximum connections that one backend server accepts from all callers together.
     origin
-        Address of an origin of weights; None for a service that answers requests.
+        Address of an origin of weights; None for a service that handles requests.
     origin_link_mbit_per_s
-        Speed of the origin's link, 0 where it is not known.
+        Speed of the link of the origin; 0 if unknown.
     """
 
     name: str
@@ -135,7 +135,7 @@
 
 
 class Organisation(msgspec.Struct, frozen=True, kw_only=True, tag="organisation"):
-    """A group of callers, known by the hashes of its keys."""
+    """A group of callers, identified by the hashes of its keys."""
 
     name: str
     key_sha256s: tuple[str, ...] = ()
@@ -144,7 +144,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True, kw_only=True, tag="caller-limits"):
-    """What callers may send, and how long they may take."""
+    """Limits on the size and duration of callers' requests."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -152,18 +152,18 @@
     idle_timeout_ms: int = 15_000
 
 
-MIN_TABLE_NUMBER = 0  # of a route table
+MIN_TABLE_NUMBER = 0
 
 
 class TableNumber(msgspec.Struct, frozen=True, kw_only=True, tag="table-number"):
-    """Number of the route table in force, and whether it knows groups at all."""
+    """Number of the route table in force, and whether it has groups with keys."""
 
     number: int
     keyed: bool
 
 
 class RouteTable(msgspec.Struct, frozen=True, kw_only=True):
-    """One whole table; the highest number is in force."""
+    """A complete route table; the table with the highest number is in force."""
 
     number: int
     routes: tuple[Route, ...]
@@ -174,7 +174,7 @@
 
 
 __all__ = [
-    "LOWEST_NUMBER",
+    "MIN_TABLE_NUMBER",
     "CallKind",
     "CallerLimits",
     "EngineSpec",
--- a/src/leadhollow/routing/validation.py
+++ b/src/leadhollow/routing/validation.py
@@ -1,4 +1,4 @@
-"""What makes a route table invalid."""
+"""Validation rules of route tables."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 def check_table(table: RouteTable) -> Failure | None:
-    """Find the first rule that a table breaks.
+    """Check a table and return its first violation of a rule.
 
     Returns
     -------
     Failure or None
-        ``TABLE_INVALID`` with the path of the field.
+        ``TABLE_INVALID`` with the path of the field; None if the table is valid.
     """
     if table.number < MIN_TABLE_NUMBER:
-        return _invalid("number", f"{table.number} is below {LOWEST_NUMBER}")
+        return _invalid("number", f"{table.number} is below {MIN_TABLE_NUMBER}")
     services = [service.name for service in table.services]
     if len(set(services)) != len(services):
         return _invalid("services", "a service is named twice")
@@ -24,13 +24,13 @@
 
 
 def _check_routes(routes: tuple[Route, ...], services: set[str]) -> Failure | None:
-    places: dict[tuple[str, str], str] = {}
+    names_by_prefix: dict[tuple[str, str], str] = {}
     for route in routes:
         field = f"routes.{route.name}"
-        place = (route.host.lower(), route.path_prefix)  # hosts are the same in any case
-        if place in places:
-            return _invalid(field, f"has the host and prefix of {places[place]}")
-        places[place] = route.name
+        host_and_prefix = (route.host.lower(), route.path_prefix)  # host names are case-insensitive
+        if host_and_prefix in names_by_prefix:
+            return _invalid(field, f"has the host and prefix of {names_by_prefix[host_and_prefix]}")
+        names_by_prefix[host_and_prefix] = route.name
         for target in route.targets:
             if target.service not in services:
                 return _invalid(field, f"leads to the unknown service {target.service}")
--- a/tests/control/leadership.py
+++ b/tests/control/leadership.py
@@ -1,10 +1,10 @@
-"""Who leads the control replicas, as tests say."""
+"""Stubs of the leadership view of a control replica."""
 
 from __future__ import annotations
 
 
-class NoLead:
-    """Nobody leads."""
+class NonLeader:
+    """This replica does not lead, and no leader is known."""
 
     def term(self) -> int:
         return 1
@@ -16,8 +16,8 @@
         return None
 
 
-class OwnLead(NoLead):
-    """This replica leads."""
+class Leader(NonLeader):
+    """This replica has led since a given time."""
 
     def __init__(self, *, since_s: float, term: int = 1) -> None:
         self.since_s: float | None = since_s
@@ -30,4 +30,4 @@
         return self.since_s
 
 
-__all__ = ["NoLead", "OwnLead"]
+__all__ = ["Leader", "NonLeader"]
--- a/tests/control/test_catalog_delta.py
+++ b/tests/control/test_catalog_delta.py
@@ -1,10 +1,10 @@
-"""A change of 1,500 routes on its way to entries, some over a narrow link."""
+"""Encoding of a change of 1,500 routes for feeds."""
 
 from __future__ import annotations
 
 import asyncio
 
-from leadhollow.control.catalog_delta import KEPT, CatalogDeltaEncoder
+from leadhollow.control.catalog_delta import MAX_CACHED_DELTAS, CatalogDeltaEncoder
 from leadhollow.settings.deployment import Listener, LoopbackAddresses
 from leadhollow.settings.node import NodeRole
 from leadhollow.state.catalog import Catalog, encode_item
@@ -19,51 +19,51 @@
 REVISION = 9
 
 
-def news(catalog: Catalog) -> CatalogDeltaEncoder:
+def make_encoder(catalog: Catalog) -> CatalogDeltaEncoder:
     def wants(role: NodeRole, item: CatalogItem) -> bool:
         return role is NodeRole.ENTRY
 
     return CatalogDeltaEncoder(catalog=catalog, wants=wants)
 
 
-class TestItemNews:
-    def test_is_packed_once_for_all_that_ask_for_the_same(self):
+class TestCatalogDeltaEncoder:
+    def test_delta_is_packed_once_for_all_subscribers(self):
         catalog = Catalog()
         catalog.apply(random_routes(), revision=REVISION)
-        told = news(catalog)
-        first = told.encode_after(0, NodeRole.ENTRY, takes_packed=True)[1]
+        encoder = make_encoder(catalog)
+        first = encoder.encode_after(0, NodeRole.ENTRY, takes_packed=True)[1]
         assert first is not None
-        assert told.encode_after(0, NodeRole.ENTRY, takes_packed=True)[1] is first
+        assert encoder.encode_after(0, NodeRole.ENTRY, takes_packed=True)[1] is first
 
-    def test_is_told_one_by_one_where_it_is_little_or_packed_is_not_understood(self):
+    def test_small_delta_or_subscriber_without_support_gets_single_items(self):
         catalog = Catalog()
         items = random_routes(3)
         catalog.apply(items, revision=REVISION)
-        told = news(catalog)
+        encoder = make_encoder(catalog)
         single = [encode_item(item) for item in items]
-        assert told.encode_after(0, NodeRole.ENTRY, takes_packed=True) == (single, None)
+        assert encoder.encode_after(0, NodeRole.ENTRY, takes_packed=True) == (single, None)
         catalog.apply(random_routes(), revision=REVISION)
-        assert len(told.encode_after(0, NodeRole.ENTRY, takes_packed=False)[0]) == len(
+        assert len(encoder.encode_after(0, NodeRole.ENTRY, takes_packed=False)[0]) == len(
             random_routes()
         )
 
-    def test_holds_what_a_role_wants_and_is_nothing_once_it_was_told(self):
+    def test_delta_is_empty_for_unneeded_items_and_for_the_newest_revision(self):
         catalog = Catalog()
         catalog.apply(random_routes(), revision=REVISION)
-        told = news(catalog)
-        assert told.encode_after(0, NodeRole.STAGER, takes_packed=True) == ([], None)
-        assert told.encode_after(REVISION, NodeRole.ENTRY, takes_packed=True) == ([], None)
+        encoder = make_encoder(catalog)
+        assert encoder.encode_after(0, NodeRole.STAGER, takes_packed=True) == ([], None)
+        assert encoder.encode_after(REVISION, NodeRole.ENTRY, takes_packed=True) == ([], None)
 
-    def test_is_kept_for_a_few_revisions_only(self):
+    def test_cache_is_bounded(self):
         catalog = Catalog()
-        told = news(catalog)
-        for revision in range(1, 3 * KEPT):
+        encoder = make_encoder(catalog)
+        for revision in range(1, 3 * MAX_CACHED_DELTAS):
             catalog.apply(random_routes(20, revision=revision), revision=revision)
-            told.encode_after(0, NodeRole.ENTRY, takes_packed=True)
-        assert len(told._packed) == KEPT
+            encoder.encode_after(0, NodeRole.ENTRY, takes_packed=True)
+        assert len(encoder._packed) == MAX_CACHED_DELTAS
 
 
-class TestAFeed:
+class TestFeed:
     async def first_update(self, *, takes_packed: bool) -> FeedUpdate:
         replica = Replica(LoopbackAddresses()("one", Listener.WIRE))
         replica.feed._catalog.apply(random_routes(), revision=REVISION)
@@ -78,12 +78,12 @@
         await asyncio.sleep(0)
         return received.unwrap()
 
-    async def test_tells_an_entry_all_routes_packed(self):
+    async def test_entry_gets_all_routes_packed(self):
         update = await self.first_update(takes_packed=True)
         assert update.packed_items
         assert not update.items
 
-    async def test_tells_an_older_entry_all_routes_one_by_one(self):
+    async def test_older_entry_gets_all_routes_as_single_items(self):
         update = await self.first_update(takes_packed=False)
         assert len(update.items) == len(random_routes())
         assert not update.packed_items
--- a/tests/control/test_feed_server.py
+++ b/tests/control/test_feed_server.py
@@ -1,4 +1,4 @@
-"""What a control replica tells entries and stagers, over loopback."""
+"""Feed updates that a control replica sends to entries and stagers, over loopback."""
 
 from __future__ import annotations
 
@@ -30,28 +30,28 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
 from leadhollow.wire.server import WireServer
-from tests.control.lead import NoLead
+from tests.control.leadership import NonLeader
 from tests.support import TOKEN, eventually
 
 ENGINE = "10.0.0.1:80"
-QUIET_S = 0.6  # more than two of a feed's heartbeats
+QUIET_S = 0.6  # more than two heartbeats of a feed
 
 
 class FakeConfirmation:
-    """A majority that always confirms, and says so once more when asked to."""
+    """A majority that always confirms; tests call the listeners."""
 
     def __init__(self) -> None:
-        self.found: list[Callable[[], None]] = []
+        self.listeners: list[Callable[[], None]] = []
 
     def age_ms(self) -> int:
         return 0
 
-    def on_found(self, listener: Callable[[], None]) -> None:
-        self.found.append(listener)
+    def on_quorum_regained(self, listener: Callable[[], None]) -> None:
+        self.listeners.append(listener)
 
 
 class Replica:
-    """One control replica without a log."""
+    """One control replica without a replicated log."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -88,7 +88,7 @@
             ),
             limits=LimitRelay(
                 **shared,
-                leadership=NoLead(),
+                leadership=NonLeader(),
                 find_server=self.registry.table.of_life,
                 live_entries=self.registry.live_entries,
                 peers=self.peers,
@@ -97,8 +97,8 @@
         )
 
 
-class Watcher:
-    """An entry or a stager that keeps what it is told."""
+class FakeSubscriber:
+    """An entry or a stager that keeps its feed updates."""
 
     def __init__(self, role: str, address: str) -> None:
         self.role = role
@@ -118,10 +118,10 @@
     def loads(self) -> list[LoadRecord]:
         return [load for update in self.updates for load in update.loads or ()]
 
-    def named(self) -> list[VersionAge]:
+    def naming_ages(self) -> list[VersionAge]:
         return [age for update in self.updates for age in update.named or ()]
 
-    def named_servers(self) -> list[str]:
+    def instance_names(self) -> list[str]:
         return [found.instance for update in self.updates for found in update.instances or ()]
 
     def silent(self) -> list[str]:
@@ -133,20 +133,24 @@
         connection.oneway(LoadReport([LoadRecord(**(values | changes))]))
 
 
-def with_watchers(work: Callable[[Replica, Watcher, Watcher], Awaitable[None]]) -> None:
+def run_with_subscribers(
+    work: Callable[[Replica, FakeSubscriber, FakeSubscriber], Awaitable[None]],
+) -> None:
     async def run() -> None:
         replica = Replica(LoopbackAddresses()("one", Listener.WIRE))
         assert (await replica.server.start()).is_ok()
-        watchers = [Watcher(role, replica.address) for role in ("entry", "stager")]
-        tasks = [asyncio.create_task(watcher.follow()) for watcher in watchers]
-        await eventually(lambda: all(watcher.updates for watcher in watchers), "first updates")
+        subscribers = [FakeSubscriber(role, replica.address) for role in ("entry", "stager")]
+        tasks = [asyncio.create_task(subscriber.follow()) for subscriber in subscribers]
+        await eventually(
+            lambda: all(subscriber.updates for subscriber in subscribers), "first updates"
+        )
         try:
-            await work(replica, *watchers)
+            await work(replica, *subscribers)
         finally:
             for task in tasks:
                 task.cancel()
-            for watcher in watchers:
-                await watcher.peers.stop()
+            for subscriber in subscribers:
+                await subscriber.peers.stop()
             await replica.peers.stop()
             await replica.server.stop()
 
@@ -154,8 +158,8 @@
 
 
 class TestLoads:
-    def test_stagers_are_told_of_weights_and_entries_of_everything(self):
-        async def work(replica: Replica, entry: Watcher, stager: Watcher) -> None:
+    def test_stagers_get_reports_with_changed_weights_and_entries_get_all(self):
+        async def work(replica: Replica, entry: FakeSubscriber, stager: FakeSubscriber) -> None:
             await stager.report(active=1)
             await eventually(lambda: stager.loads() and entry.loads(), "the first report")
             await stager.report(active=5)
@@ -164,77 +168,77 @@
             await eventually(lambda: stager.loads()[-1].switching, "the change")
             assert [load.active for load in stager.loads()] == [1, 6]
 
-        with_watchers(work)
+        run_with_subscribers(work)
 
 
 class TestSilence:
-    def test_of_a_backend_server_is_told_once_to_all_watchers(self):
-        async def work(replica: Replica, entry: Watcher, stager: Watcher) -> None:
+    def test_silent_server_is_reported_once_to_all_subscribers(self):
+        async def work(replica: Replica, entry: FakeSubscriber, stager: FakeSubscriber) -> None:
             now_s = asyncio.get_running_loop().time()
-            replica.registry.announce(an_instance(heard_s=now_s))
-            await eventually(lambda: entry.named_servers() and stager.named_servers(), "the news")
+            replica.registry.announce(make_instance(heard_s=now_s))
+            await eventually(lambda: entry.instance_names() and stager.instance_names(), "the news")
             replica.registry.table.forget_after_s = 0.0
             replica.registry._expire()
             await eventually(lambda: entry.silent() and stager.silent(), "the silence")
             await asyncio.sleep(QUIET_S)
             assert entry.silent() == stager.silent() == ["i-1"]
 
-        with_watchers(work)
+        run_with_subscribers(work)
 
-    def test_that_ends_before_it_is_told_is_no_news(self):
-        async def work(replica: Replica, entry: Watcher, stager: Watcher) -> None:
-            heard = an_instance(heard_s=asyncio.get_running_loop().time())
+    def test_silence_that_ends_before_the_update_is_not_reported(self):
+        async def work(replica: Replica, entry: FakeSubscriber, stager: FakeSubscriber) -> None:
+            instance = make_instance(heard_s=asyncio.get_running_loop().time())
             replica.feed._on_silence(["i-1"])
-            replica.registry.announce(heard)
-            await eventually(lambda: entry.named_servers() and stager.named_servers(), "the news")
+            replica.registry.announce(instance)
+            await eventually(lambda: entry.instance_names() and stager.instance_names(), "the news")
             assert entry.silent() == stager.silent() == []
 
-        with_watchers(work)
+        run_with_subscribers(work)
 
 
 class TestNamings:
-    def test_are_told_once_and_again_when_more_is_known(self):
-        async def work(replica: Replica, entry: Watcher, stager: Watcher) -> None:
+    def test_naming_is_sent_once_and_again_when_an_older_time_is_learned(self):
+        async def work(replica: Replica, entry: FakeSubscriber, stager: FakeSubscriber) -> None:
             replica.times.record("m", 2)
-            await eventually(lambda: entry.named() and stager.named(), "the naming")
+            await eventually(lambda: entry.naming_ages() and stager.naming_ages(), "the naming")
             await asyncio.sleep(QUIET_S)
-            assert len(entry.named()) == 1
+            assert len(entry.naming_ages()) == 1
             replica.times.merge([VersionAge("m", 2, 5_000)])
-            await eventually(lambda: len(entry.named()) == 2, "the longer age")
-            assert entry.named()[-1].age_ms >= 5_000
+            await eventually(lambda: len(entry.naming_ages()) == 2, "the longer age")
+            assert entry.naming_ages()[-1].age_ms >= 5_000
 
-        with_watchers(work)
+        run_with_subscribers(work)
 
 
 class TestConfirmation:
-    def test_a_majority_that_is_found_is_told_at_once(self):
-        async def work(replica: Replica, entry: Watcher, stager: Watcher) -> None:
+    def test_regained_quorum_wakes_all_subscribers(self):
+        async def work(replica: Replica, entry: FakeSubscriber, stager: FakeSubscriber) -> None:
             for subscriber in replica.feed._subscribers:
                 subscriber._wake.clear()
-            for listener in replica.confirmation.found:
+            for listener in replica.confirmation.listeners:
                 listener()
             assert len(replica.feed._subscribers) == 2
             assert all(subscriber._wake.is_set() for subscriber in replica.feed._subscribers)
 
-        with_watchers(work)
+        run_with_subscribers(work)
 
 
 class TestDecisions:
-    def test_entries_hear_what_others_refused_and_stagers_do_not(self):
-        async def work(replica: Replica, entry: Watcher, stager: Watcher) -> None:
+    def test_entries_get_decisions_of_others_and_stagers_do_not(self):
+        async def work(replica: Replica, entry: FakeSubscriber, stager: FakeSubscriber) -> None:
             other = PeerPool(vm="other", failure_domain="d", token=TOKEN, handlers=HandlerTable())
             connection = (await other.connection(replica.address)).unwrap()
             connection.oneway(UseReport([], [], False, [ServiceDecisions("m", 20_000, 8_000)]))
-            await eventually(lambda: decided(entry), "the refusals of the other entry")
-            assert decided(entry)[0].name == "m"
-            assert 0 < decided(entry)[0].refused_milli <= 8_000
-            assert not decided(stager)
+            await eventually(lambda: received_decisions(entry), "the refusals of the other entry")
+            assert received_decisions(entry)[0].name == "m"
+            assert 0 < received_decisions(entry)[0].refused_milli <= 8_000
+            assert not received_decisions(stager)
             await other.stop()
 
-        with_watchers(work)
+        run_with_subscribers(work)
 
 
-def an_instance(
+def make_instance(
     instance: str = "i-1", *, heard_s: float, service: str = "s", sequence: int = 1
 ) -> Instance:
     return Instance(
@@ -250,5 +254,5 @@
     )
 
 
-def decided(watcher: Watcher) -> list[ServiceDecisions]:
-    return [found for update in watcher.updates for found in update.decisions or ()]
+def received_decisions(subscriber: FakeSubscriber) -> list[ServiceDecisions]:
+    return [found for update in subscriber.updates for found in update.decisions or ()]
--- a/tests/control/test_held_up.py
+++ b/tests/control/test_held_up.py
@@ -1,4 +1,4 @@
-"""A control replica that was held up takes nobody for silent."""
+"""A control replica whose event loop stalled does not treat others as silent."""
 
 from __future__ import annotations
 
@@ -11,49 +11,50 @@
 from leadhollow.kernel import active_time
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
-from tests.control.test_engine_uses import FIRST, tell, use, with_nodes
-from tests.control.test_registry import a_load, a_registry, an_instance
+from tests.control.test_registry import make_instance, make_load, make_registry
+from tests.control.test_use_aggregator import FIRST, run_with_nodes, send_use_report, use
 from tests.support import TOKEN, eventually
 
 FORGET_AFTER_S = 1.0
-HOLD_S = 1.5
+STALL_S = 1.5
 
 
-class TestHeldUpRegistry:
-    # Guards against: servers whose heartbeats lay in the socket are forgotten, by watchers too.
-    async def test_forgets_no_server(self):
-        registry = a_registry(heartbeat_s=0.3)
+class TestStalledRegistry:
+    # Guards against: servers are dropped, by subscribers too, while their heartbeats wait unread in
+    # the socket.
+    async def test_keeps_server_after_a_stall(self):
+        registry = make_registry(heartbeat_s=0.3)
         registry.table.forget_after_s = FORGET_AFTER_S
         silent: list[str] = []
         registry.on_silence(silent.extend)
         active_time.clock()
-        registry.announce(an_instance(heard_s=asyncio.get_running_loop().time()))
-        time.sleep(HOLD_S)
+        registry.announce(make_instance(heard_s=asyncio.get_running_loop().time()))
+        time.sleep(STALL_S)
         registry._expire()
         assert registry.table.get("i-1") is not None
         assert silent == []
 
-    async def test_forgets_one_that_is_silent(self):
-        registry = a_registry(heartbeat_s=0.3)
+    async def test_drops_silent_server_without_a_stall(self):
+        registry = make_registry(heartbeat_s=0.3)
         registry.table.forget_after_s = FORGET_AFTER_S
-        registry.announce(an_instance(heard_s=asyncio.get_running_loop().time() - HOLD_S))
+        registry.announce(make_instance(heard_s=asyncio.get_running_loop().time() - STALL_S))
         registry._expire()
         assert registry.table.get("i-1") is None
 
-    # Guards against: a report is told as younger than it is, since its replica was held up.
-    async def test_tells_true_ages(self):
-        registry = a_registry(heartbeat_s=0.3)
+    # Guards against: a report is sent with too low an age because the replica stalled meanwhile.
+    async def test_sent_age_includes_the_stall(self):
+        registry = make_registry(heartbeat_s=0.3)
         active_time.clock()
-        load = registry._merge_load(a_load(active=0).record, own=True)
-        time.sleep(HOLD_S)
-        assert load.message(asyncio.get_running_loop().time()).age_ms >= HOLD_S * 1000
+        load = registry._merge_load(make_load(active=0).record, reported_here=True)
+        time.sleep(STALL_S)
+        assert load.to_record(asyncio.get_running_loop().time()).age_ms >= STALL_S * 1000
 
 
-class TestHeldUpUses:
-    # Guards against: engines seem empty after a hold, though entries go on telling what they have.
-    def test_count_on(self):
+class TestStalledUseAggregator:
+    # Guards against: engines look idle after a stall although entries keep reporting their use.
+    def test_reports_stay_valid_after_a_stall(self):
         async def work(one, two) -> None:
-            peers = await tell(one, "entry-1", {FIRST: use(2)})
+            peers = await send_use_report(one, "entry-1", {FIRST: use(2)})
             await eventually(lambda: one.uses.total(FIRST) == use(2))
             changes: list[set[str]] = []
             one.uses.on_change(lambda engines, vm: changes.append(engines))
@@ -63,12 +64,12 @@
             assert changes == []
             await peers.stop()
 
-        with_nodes(work)
+        run_with_nodes(work)
 
 
-class TestHeldUpJudge:
-    # Guards against: a request is convicted before news that speak for it are read.
-    async def test_reads_what_arrived_before_it_judges(self, monkeypatch):
+class TestStalledSuspectRelay:
+    # Guards against: a request is put in quarantine before reports that clear it are read.
+    async def test_reads_pending_input_before_judging(self, monkeypatch):
         order: list[str] = []
         monkeypatch.setattr(SuspectRelay, "_judge", lambda self: order.append("judged"))
         handlers = HandlerTable()
@@ -79,23 +80,23 @@
             handlers=handlers,
             folder=None,
         )
-        ours, peer = socket.socketpair()
-        ours.setblocking(False)
-        reader, writer = await asyncio.open_connection(sock=ours)
+        own_end, peer_end = socket.socketpair()
+        own_end.setblocking(False)
+        reader, writer = await asyncio.open_connection(sock=own_end)
 
-        async def take_news() -> None:
+        async def read_news() -> None:
             await reader.read(1)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             order.append("heard")
 
-        taking = asyncio.create_task(take_news())
+        reading = asyncio.create_task(read_news())
         await asyncio.sleep(0.02)
-        peer.send(b"x")
-        relay._judge_later()
-        time.sleep(HOLD_S)
+        peer_end.send(b"x")
+        relay._schedule_judge()
+        time.sleep(STALL_S)
         await eventually(lambda: len(order) == 2, "news and a judgement")
         assert order == ["heard", "judged"]
-        await taking
+        await reading
         writer.close()
-        peer.close()
+        peer_end.close()
--- a/tests/control/test_learners.py
+++ b/tests/control/test_learners.py
@@ -1,4 +1,4 @@
-"""A control replica without a vote hears what is told at any other one."""
+"""Control replicas without a vote get the soft state that any other replica receives."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from leadhollow.control.registry import Registry
 from leadhollow.membership.naming_times import NamingTimes
-from tests.control.test_feed_server import an_instance
+from tests.control.test_feed_server import make_instance
 from tests.state.seeded_group import SeededGroup, SeededNode
 from tests.support import eventually
 
@@ -30,7 +30,7 @@
 
 
 class Group(SeededGroup):
-    """Three voters and two replicas that vote not, each with its backend servers."""
+    """Three voters and two replicas without a vote, each with a registry."""
 
     async def start_registries(self) -> None:
         await self.start_all()
@@ -46,8 +46,8 @@
             await registry.stop()
         await self.stop_all()
 
-    async def others(self) -> list[str]:
-        """Give the voters that do not lead."""
+    async def other_voters(self) -> list[str]:
+        """Return the voters that do not lead."""
         leader = await eventually(self.leader, "a leader with a lease")
         return [host for host in self.seeds if host != leader.host]
 
@@ -61,27 +61,30 @@
 
 
 class TestLearner:
-    # Guards against: entries that follow a replica without a vote send to a server that has left.
-    async def test_hears_what_is_told_at_a_voter_that_does_not_lead(self, group):
-        where = (await group.others())[0]
-        heard = an_instance(heard_s=asyncio.get_running_loop().time())
-        group.registries[where].announce(heard)
+    # Guards against: entries that follow a replica without a vote send requests to a deregistered
+    # server.
+    async def test_learner_gets_changes_received_by_a_non_leading_voter(self, group):
+        voter_host = (await group.other_voters())[0]
+        instance = make_instance(heard_s=asyncio.get_running_loop().time())
+        group.registries[voter_host].announce(instance)
         for host in LEARNERS:
             table = group.registries[host].table
-            await eventually(lambda table=table: table.get(heard.instance), "the server")
-        group.registries[where].leave(heard.instance)
+            await eventually(lambda table=table: table.get(instance.instance), "the server")
+        group.registries[voter_host].deregister(instance.instance)
         for host in LEARNERS:
             table = group.registries[host].table
-            await eventually(lambda table=table: table.get(heard.instance) is None, "its farewell")
+            await eventually(
+                lambda table=table: table.get(instance.instance) is None, "its farewell"
+            )
 
-    async def test_hears_what_is_told_at_another_learner(self, group):
-        heard = an_instance(heard_s=asyncio.get_running_loop().time())
-        group.registries[LEARNERS[0]].announce(heard)
+    async def test_learner_gets_changes_received_by_another_learner(self, group):
+        instance = make_instance(heard_s=asyncio.get_running_loop().time())
+        group.registries[LEARNERS[0]].announce(instance)
         table = group.registries[LEARNERS[1]].table
-        await eventually(lambda: table.get(heard.instance), "the server")
+        await eventually(lambda: table.get(instance.instance), "the server")
 
-    async def test_that_is_gone_is_told_nothing_any_more(self, group):
-        voter = group.nodes[(await group.others())[0]]
+    async def test_stopped_learner_is_removed_from_addresses(self, group):
+        voter = group.nodes[(await group.other_voters())[0]]
         address = group.nodes[LEARNERS[0]].settings.wire_address
         await eventually(lambda: address in voter.service.addresses(), "its address")
         await group.registries[LEARNERS[0]].stop()
--- a/tests/control/test_limit_relay.py
+++ b/tests/control/test_limit_relay.py
@@ -1,4 +1,4 @@
-"""Limits at one control replica: who is told, and when the leader may lease."""
+"""Rate limits at one control replica: relaying of changes and leasing by the leader."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     ShareRequest,
 )
 from leadhollow.wire.handlers import HandlerTable
-from tests.control.lead import NoLead, OwnLead
+from tests.control.leadership import Leader, NonLeader
 
 LIFE = "i-1@5"
 
 
-class Posts:
-    """Peers that keep what is posted to them."""
+class FakePeers:
+    """Peer pool that keeps the messages posted to it."""
 
     def __init__(self) -> None:
         self.posted: list[tuple[str, object]] = []
@@ -36,16 +36,16 @@
         self.posted.append((address, body))
 
 
-class Told:
-    """What entries that follow the replica are told."""
+class Received:
+    """Arguments of the listeners of the relay."""
 
     def __init__(self) -> None:
         self.lives: list[set[str]] = []
         self.leases: list[LimitLease] = []
-        self.behind: list[str] = []
+        self.stale_entries: list[str] = []
 
 
-def server_of(life: str) -> Instance | None:
+def find_server(life: str) -> Instance | None:
     if life != LIFE:
         return None
     return Instance(
@@ -63,160 +63,162 @@
 
 
 class Replica:
-    """A relay, without its task."""
+    """A relay whose background task is not started."""
 
-    def __init__(self, lead: NoLead) -> None:
-        self.posts = Posts()
-        self.told = Told()
+    def __init__(self, leadership: NonLeader) -> None:
+        self.peers_stub = FakePeers()
+        self.received = Received()
         self.relay = LimitRelay(
             own_address="one",
             replicas=lambda: ["one", "two", "three"],
-            leadership=lead,
-            find_server=server_of,
+            leadership=leadership,
+            find_server=find_server,
             live_entries=lambda: 0,
-            peers=self.posts,
+            peers=self.peers_stub,
             handlers=HandlerTable(),
         )
         self.relay.set_listeners(
-            on_limits=self.told.lives.append,
-            on_lease=self.told.leases.append,
-            on_behind=self.told.behind.append,
+            on_limits=self.received.lives.append,
+            on_lease=self.received.leases.append,
+            on_stale_entry=self.received.stale_entries.append,
         )
 
-    def hear(self, news: LimitNews, *, vm: str = "entry") -> None:
-        self.relay._on_news(news, SimpleNamespace(hello=SimpleNamespace(vm=vm)))
+    def receive(self, message: LimitNews, *, vm: str = "entry") -> None:
+        self.relay._on_news(message, SimpleNamespace(hello=SimpleNamespace(vm=vm)))
 
-    async def tell(self, *, whole: bool = False) -> list[tuple[str, object]]:
-        self.posts.posted = []
+    async def publish(self, *, whole: bool = False) -> list[tuple[str, object]]:
+        self.peers_stub.posted = []
         await self.relay._publish(whole=whole)
-        return self.posts.posted
+        return self.peers_stub.posted
 
 
-def limit(per_s: float = 2.0, *, address: str = "", requests=()) -> LimitNews:
+def limit_message(per_s: float = 2.0, *, address: str = "", requests=()) -> LimitNews:
     return LimitNews(address, 0, [LimitRecord(LIFE, per_s, 0, -1)], list(requests))
 
 
-def a_request(vm: str = "entry", asked_ms: int = 7) -> ShareRequest:
+def make_share_request(vm: str = "entry", asked_ms: int = 7) -> ShareRequest:
     return ShareRequest(vm, "d", asked_ms, [ServiceRate("s", 30.0)])
 
 
-class TestNews:
-    def test_of_an_entry_reach_the_others_and_all_replicas(self):
+class TestMessages:
+    def test_limit_from_an_entry_reaches_entries_and_all_replicas(self):
         async def work() -> None:
-            replica = Replica(NoLead())
-            replica.hear(limit())
-            assert replica.told.lives == [{LIFE}]
-            posted = await replica.tell()
+            replica = Replica(NonLeader())
+            replica.receive(limit_message())
+            assert replica.received.lives == [{LIFE}]
+            posted = await replica.publish()
             assert [address for address, _ in posted] == ["two", "three"]
             assert [record.life for record in posted[0][1].limits] == [LIFE]
-            assert await replica.tell() == []
+            assert await replica.publish() == []
 
         asyncio.run(work())
 
-    def test_that_are_known_are_told_to_nobody(self):
+    def test_known_limit_is_not_sent_again(self):
         async def work() -> None:
-            replica = Replica(NoLead())
-            replica.hear(limit())
-            await replica.tell()
-            replica.hear(limit())
-            assert replica.told.lives == [{LIFE}]
-            assert await replica.tell() == []
+            replica = Replica(NonLeader())
+            replica.receive(limit_message())
+            await replica.publish()
+            replica.receive(limit_message())
+            assert replica.received.lives == [{LIFE}]
+            assert await replica.publish() == []
 
         asyncio.run(work())
 
-    def test_that_are_malformed_change_nothing(self):
+    def test_malformed_message_is_ignored(self):
         async def work() -> None:
-            replica = Replica(NoLead())
-            replica.hear(LimitNews("", 0, [LimitRecord(LIFE, -1.0, 0, -1)], [a_request()]))
+            replica = Replica(NonLeader())
+            replica.receive(
+                LimitNews("", 0, [LimitRecord(LIFE, -1.0, 0, -1)], [make_share_request()])
+            )
             assert not replica.relay.table
-            assert await replica.tell() == []
+            assert await replica.publish() == []
 
         asyncio.run(work())
 
-    def test_of_a_replica_that_lacks_something_bring_it_everything_once(self):
+    def test_replica_with_another_checksum_gets_the_full_table_once(self):
         async def work() -> None:
-            replica = Replica(NoLead())
-            replica.hear(limit())
-            await replica.tell()
-            replica.posts.posted = []
+            replica = Replica(NonLeader())
+            replica.receive(limit_message())
+            await replica.publish()
+            replica.peers_stub.posted = []
             for _ in range(3):
-                replica.hear(LimitNews("two", 0, [], []))
-            assert [address for address, _ in replica.posts.posted] == ["two"]
+                replica.receive(LimitNews("two", 0, [], []))
+            assert [address for address, _ in replica.peers_stub.posted] == ["two"]
 
         asyncio.run(work())
 
-    def test_of_an_entry_that_lacks_something_bring_it_everything(self):
+    def test_entry_with_another_checksum_is_reported_as_stale(self):
         async def work() -> None:
-            replica = Replica(NoLead())
-            replica.hear(limit(), vm="entry")
-            replica.hear(LimitNews("", 0, [], []), vm="other")
-            assert "other" in replica.told.behind
+            replica = Replica(NonLeader())
+            replica.receive(limit_message(), vm="entry")
+            replica.receive(LimitNews("", 0, [], []), vm="other")
+            assert "other" in replica.received.stale_entries
 
         asyncio.run(work())
 
 
 class TestRequests:
-    def test_go_to_the_leader(self):
-        class Lead(NoLead):
+    def test_request_is_relayed_to_the_leader_only(self):
+        class OtherLeader(NonLeader):
             def leader_address(self) -> str | None:
                 return "three"
 
         async def work() -> None:
-            replica = Replica(Lead())
-            replica.hear(limit(requests=[a_request()]))
-            posted = dict(await replica.tell())
+            replica = Replica(OtherLeader())
+            replica.receive(limit_message(requests=[make_share_request()]))
+            posted = dict(await replica.publish())
             assert [request.vm for request in posted["three"].requests] == ["entry"]
             assert posted["two"].requests == []
 
         asyncio.run(work())
 
-    def test_are_served_by_the_leader_where_they_came_from(self):
+    def test_leader_sends_leases_to_where_requests_came_from(self):
         async def work() -> None:
-            replica = Replica(OwnLead(since_s=clocks.elapsed_s() - 2 * LEASE_S))
-            replica.hear(limit(requests=[a_request()]))
-            await replica.tell()
-            assert [lease.asked_ms for lease in replica.told.leases] == [7]
-            assert replica.told.leases[0].shares[0].share == pytest.approx(LEASED_SHARE)
-            replica.hear(limit(address="two", requests=[a_request("far")]))
-            leases = [body for _, body in await replica.tell() if isinstance(body, LimitLeases)]
+            replica = Replica(Leader(since_s=clocks.elapsed_s() - 2 * LEASE_S))
+            replica.receive(limit_message(requests=[make_share_request()]))
+            await replica.publish()
+            assert [lease.asked_ms for lease in replica.received.leases] == [7]
+            assert replica.received.leases[0].shares[0].share == pytest.approx(LEASED_SHARE)
+            replica.receive(limit_message(address="two", requests=[make_share_request("far")]))
+            leases = [body for _, body in await replica.publish() if isinstance(body, LimitLeases)]
             assert [lease.vm for lease in leases[0].leases] == ["far"]
             assert leases[0].leases[0].shares == []  # held by the first entry
 
         asyncio.run(work())
 
-    def test_are_not_served_until_leases_of_the_leader_before_have_ended(self):
+    def test_new_leader_leases_only_after_earlier_leases_ended(self):
         async def work() -> None:
-            lead = OwnLead(since_s=clocks.elapsed_s() - 0.8 * LEASE_S, term=2)
-            replica = Replica(lead)
-            replica.hear(limit(requests=[a_request()]))
-            await replica.tell()
-            assert replica.told.leases == []
-            lead.since_s = clocks.elapsed_s() - 1.1 * LEASE_S
-            replica.hear(limit(requests=[a_request()]))
-            await replica.tell()
-            assert len(replica.told.leases) == 1
+            leadership = Leader(since_s=clocks.elapsed_s() - 0.8 * LEASE_S, term=2)
+            replica = Replica(leadership)
+            replica.receive(limit_message(requests=[make_share_request()]))
+            await replica.publish()
+            assert replica.received.leases == []
+            leadership.since_s = clocks.elapsed_s() - 1.1 * LEASE_S
+            replica.receive(limit_message(requests=[make_share_request()]))
+            await replica.publish()
+            assert len(replica.received.leases) == 1
 
         asyncio.run(work())
 
-    def test_are_not_served_by_one_that_may_have_lost_the_lead(self):
+    def test_replica_that_may_have_lost_leadership_does_not_lease(self):
         async def work() -> None:
-            lead = OwnLead(since_s=0.0)
-            lead.since_s = None
-            replica = Replica(lead)
-            replica.hear(limit(requests=[a_request()]))
-            await replica.tell()
-            assert replica.told.leases == []
+            leadership = Leader(since_s=0.0)
+            leadership.since_s = None
+            replica = Replica(leadership)
+            replica.receive(limit_message(requests=[make_share_request()]))
+            await replica.publish()
+            assert replica.received.leases == []
 
         asyncio.run(work())
 
 
 class TestLeases:
-    def test_of_a_former_leader_are_dropped(self):
+    def test_leases_of_a_former_leader_are_dropped(self):
         async def work() -> None:
-            replica = Replica(NoLead())
+            replica = Replica(NonLeader())
             connection = SimpleNamespace(hello=None)
             replica.relay._on_leases(LimitLeases(5, [LimitLease("a", 1, [])]), connection)
             replica.relay._on_leases(LimitLeases(4, [LimitLease("a", 2, [])]), connection)
-            assert [lease.asked_ms for lease in replica.told.leases] == [1]
+            assert [lease.asked_ms for lease in replica.received.leases] == [1]
 
         asyncio.run(work())
--- a/tests/control/test_registry.py
+++ b/tests/control/test_registry.py
@@ -1,4 +1,4 @@
-"""Which reports of engines are news, and how often reports come."""
+"""Load reports and announcements at the registry of one control replica."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 )
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
-from tests.control.test_feed_server import an_instance
+from tests.control.test_feed_server import make_instance
 from tests.support import TOKEN
 
 
-def a_load(previous: Load | None = None, **changes: object) -> Load:
+def make_load(previous: ReportedLoad | None = None, **changes: object) -> ReportedLoad:
     values: dict[str, object] = {
         "address": "10.0.0.1:80",
         "active": 1,
@@ -36,17 +36,20 @@
         "staged_pieces": 0,
     }
     return ReportedLoad(
-        record=LoadRecord(**(values | changes)), heard_s=0.0, own=True, previous=previous
+        record=LoadRecord(**(values | changes)),
+        reported_s=0.0,
+        reported_here=True,
+        previous=previous,
     )
 
 
-class TestLoad:
-    def test_the_first_report_is_news(self):
-        assert a_load().news
+class TestReportedLoad:
+    def test_first_report_counts_as_changed_weights(self):
+        assert make_load().weights_changed
 
     @pytest.mark.parametrize("changes", [{"active": 7}, {"queued": 3}, {"pace_permille": 4_000}])
-    def test_requests_that_come_and_go_are_none_to_stagers(self, changes):
-        assert not a_load(a_load(), **changes).news
+    def test_changed_requests_are_not_changed_weights(self, changes):
+        assert not make_load(make_load(), **changes).weights_changed
 
     @pytest.mark.parametrize(
         "changes",
@@ -57,39 +60,39 @@
             {"models": []},
         ],
     )
-    def test_what_concerns_its_weights_is(self, changes):
-        assert a_load(a_load(), **changes).news
+    def test_changed_weights_are_detected(self, changes):
+        assert make_load(make_load(), **changes).weights_changed
 
 
 class TestReportInterval:
-    def test_stays_short_in_a_small_domain(self):
+    def test_interval_is_shortest_in_a_small_domain(self):
         assert report_interval_s(10) == MIN_REPORT_INTERVAL_S
 
     @pytest.mark.parametrize("engines", [20, 53, 93, 650])
-    def test_bounds_what_all_engines_say_together(self, engines):
-        assert engines / report_interval_s(engines) <= MAX_REPORTS_PER_S
+    def test_interval_bounds_the_total_report_rate(self, engines):
+        assert engines / report_interval_s(engines) <= REPORTS_PER_S
 
 
 class TestReportsOfManyEngines:
     @pytest.mark.parametrize("engines", [1, 53, 133, 200, 401, 650])
-    def test_are_kept_for_as_long_as_entries_go_by_them(self, engines):
+    def test_reports_are_kept_as_long_as_entries_use_them(self, engines):
         assert load_valid_s(engines) >= VALID_INTERVALS * report_interval_s(engines)
         assert load_valid_s(engines) >= LOAD_VALID_S
 
 
 class TestRareHeartbeats:
-    """A deployment whose servers announce themselves each 6 s, five times as rarely as usual."""
+    """Servers announce themselves every 6 s, five times less often than usual."""
 
-    BEAT_S = 6.0
+    HEARTBEAT_S = 6.0
 
-    async def test_are_passed_on_from_one_to_the_next(self):
-        registry = a_registry(heartbeat_s=self.BEAT_S)
+    async def test_announcement_is_relayed_until_the_next_one(self):
+        registry = make_registry(heartbeat_s=self.HEARTBEAT_S)
         now_s = asyncio.get_running_loop().time()
-        registry.announce(an_instance(heard_s=now_s - self.BEAT_S - 1))
+        registry.announce(make_instance(heard_s=now_s - self.HEARTBEAT_S - 1))
         assert [found.instance for found in registry._local_instances()] == ["i-1"]
 
 
-def a_registry(*, heartbeat_s: float) -> Registry:
+def make_registry(*, heartbeat_s: float) -> Registry:
     handlers = HandlerTable()
     return Registry(
         own_address="127.0.0.1:1",
@@ -105,42 +108,45 @@
 
 
 class TestUnknownServices:
-    """Announcements of another writer: they name no server to use, and the others hold."""
+    """Announcements of a service that the route table does not have."""
 
-    async def test_take_no_address_of_a_server_in_use(self):
-        registry = a_registry(heartbeat_s=1.2)
+    async def test_unknown_service_does_not_take_over_an_address(self):
+        registry = make_registry(heartbeat_s=1.2)
         now_s = asyncio.get_running_loop().time()
-        registry.announce(an_instance(heard_s=now_s))
-        registry.announce(an_instance("i-2", service="nobody", heard_s=now_s + 1))
+        registry.announce(make_instance(heard_s=now_s))
+        registry.announce(make_instance("i-2", service="nobody", heard_s=now_s + 1))
         assert [found.instance for found in registry.table.instances()] == ["i-1"]
 
-    async def test_do_not_keep_a_known_server_from_leaving(self):
-        registry = a_registry(heartbeat_s=1.2)
+    async def test_known_server_of_an_unknown_service_can_drain(self):
+        registry = make_registry(heartbeat_s=1.2)
         now_s = asyncio.get_running_loop().time()
-        registry.announce(an_instance(heard_s=now_s))
-        leaving = an_instance(service="renamed", heard_s=now_s + 1, sequence=2)
+        registry.announce(make_instance(heard_s=now_s))
+        leaving = make_instance(service="renamed", heard_s=now_s + 1, sequence=2)
         leaving.state = InstanceState.DRAINING
         registry.announce(leaving)
         assert registry.table.get("i-1").state is InstanceState.DRAINING
 
 
-class TestFormerLives:
-    async def test_late_reports_of_load_change_nothing(self):
-        registry = a_registry(heartbeat_s=1.2)
-        registry._merge_load(a_load(active=0, born_ms=2_000).record, own=True)
+class TestEarlierLives:
+    async def test_late_report_of_an_earlier_life_is_ignored(self):
+        registry = make_registry(heartbeat_s=1.2)
+        registry._merge_load(make_load(active=0, born_ms=2_000).record, reported_here=True)
         await asyncio.sleep(0.01)
-        assert registry._merge_load(a_load(active=9, born_ms=1_000).record, own=True) is None
+        assert (
+            registry._merge_load(make_load(active=9, born_ms=1_000).record, reported_here=True)
+            is None
+        )
         assert registry.loads()[0].record.active == 0
 
 
 class TestLeavingServers:
-    # Guards against: an entry's word that a server leaves ends at the replica that it follows.
-    async def test_that_an_entry_tells_of_are_told_like_heartbeats(self):
-        registry = a_registry(heartbeat_s=1.2)
-        registry.announce(an_instance(heard_s=asyncio.get_running_loop().time()))
-        told: list[InstanceState] = []
-        registry.on_change(lambda instances, _: told.extend(one.state for one in instances))
+    # Guards against: a report that a server leaves is not relayed beyond the replica that got it.
+    async def test_reported_leaving_server_is_relayed_like_an_announcement(self):
+        registry = make_registry(heartbeat_s=1.2)
+        registry.announce(make_instance(heard_s=asyncio.get_running_loop().time()))
+        states: list[InstanceState] = []
+        registry.on_change(lambda instances, _: states.extend(one.state for one in instances))
         for life in ("i-1@0", "i-9@0", "i-1@0"):
             registry.mark_leaving(life)
-        assert told == [InstanceState.DRAINING]
+        assert states == [InstanceState.DRAINING]
         assert [one.state for one in registry._local_instances()] == [InstanceState.DRAINING]
--- a/tests/control/test_replica_service.py
+++ b/tests/control/test_replica_service.py
@@ -1,4 +1,4 @@
-"""The start of a replica that is found from seeds."""
+"""Start of a replica that finds the others through seeds."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class TestStart:
-    # Guards against: a disk that hangs at the start holds up all that the process does.
-    async def test_reads_its_identity_without_holding_up_the_loop(self, tmp_path, monkeypatch):
+    # Guards against: a slow disk at the start blocks the event loop of the whole process.
+    async def test_start_reads_the_identity_without_blocking_the_loop(self, tmp_path, monkeypatch):
         load, work = replica_service.load_identity, BlockingWork()
 
-        def slowly(*arguments, **fields):
+        def blocking_load(*arguments, **fields):
             work()
             return load(*arguments, **fields)
 
-        monkeypatch.setattr(replica_service, "load_identity", slowly)
+        monkeypatch.setattr(replica_service, "load_identity", blocking_load)
         group = SeededGroup(folder=tmp_path)
         try:
             await group.start(group.seeds[0], first_start=True)
--- a/tests/control/test_self_report_relay.py
+++ b/tests/control/test_self_report_relay.py
@@ -1,4 +1,4 @@
-"""Self-reports of backend servers at one control replica: merged, and passed on once."""
+"""Self-reports of backend servers at one control replica: merging, and relaying once."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 import pytest
 
-from leadhollow.control.self_report_relay import SAME_REST_S, SelfReportRelay
+from leadhollow.control.self_report_relay import MIN_BACKOFF_CHANGE_S, SelfReportRelay
 from leadhollow.wire.generated.ttypes import Hello, ServerWord, ServerWords
 from leadhollow.wire.handlers import HandlerTable
 
 
-class Posts:
-    """Keeps what is sent to other replicas."""
+class FakePeers:
+    """Peer pool that keeps the messages sent to other replicas."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, ServerWords]] = []
@@ -21,7 +21,7 @@
         self.sent.append((address, body))
 
 
-class Leaving:
+class FakeLeavingTable:
     def __init__(self) -> None:
         self.lives: list[str] = []
 
@@ -36,23 +36,23 @@
 
 class Replica:
     def __init__(self) -> None:
-        self.posts = Posts()
-        self.leaving = Leaving()
-        self.told: list[set[str]] = []
+        self.peers_stub = FakePeers()
+        self.leaving = FakeLeavingTable()
+        self.changes: list[set[str]] = []
         self.relay = SelfReportRelay(
             own_address="a",
             replicas=lambda: ["a", "b", "c"],
             leaving_table=self.leaving,
-            peers=self.posts,
+            peers=self.peers_stub,
             handlers=HandlerTable(),
         )
-        self.relay.on_change(lambda lives, vm: self.told.append(lives))
+        self.relay.on_change(lambda lives, vm: self.changes.append(lives))
 
-    def hear(self, *words: ServerWord, address: str = "", vm: str = "entry") -> None:
+    def receive(self, *words: ServerWord, address: str = "", vm: str = "entry") -> None:
         self.relay._on_words(ServerWords(address, list(words)), Connection(vm))
 
 
-def rest(rest_ms: int, life: str = "i-1@7") -> ServerWord:
+def backoff(rest_ms: int, life: str = "i-1@7") -> ServerWord:
     return ServerWord(life=life, rest_ms=rest_ms)
 
 
@@ -60,34 +60,34 @@
     return ServerWord(life=life, leaving=True)
 
 
-class TestRests:
-    async def test_that_an_entry_tells_go_to_entries_and_replicas(self):
+class TestBackoffs:
+    async def test_backoff_from_an_entry_goes_to_entries_and_replicas(self):
         replica = Replica()
-        replica.hear(rest(3_000))
-        assert replica.told == [{"i-1@7"}]
-        assert [address for address, _ in replica.posts.sent] == ["b", "c"]
-        [word] = replica.posts.sent[0][1].words
+        replica.receive(backoff(3_000))
+        assert replica.changes == [{"i-1@7"}]
+        assert [address for address, _ in replica.peers_stub.sent] == ["b", "c"]
+        [word] = replica.peers_stub.sent[0][1].words
         assert (word.life, word.leaving, word.told_by) == ("i-1@7", None, "entry")
         assert 2_900 < word.rest_ms <= 3_000
 
-    async def test_that_a_replica_tells_go_to_entries_only(self):
+    async def test_backoff_from_a_replica_goes_to_entries_only(self):
         replica = Replica()
-        replica.hear(rest(3_000), address="b")
-        assert replica.told == [{"i-1@7"}]
-        assert replica.posts.sent == []
+        replica.receive(backoff(3_000), address="b")
+        assert replica.changes == [{"i-1@7"}]
+        assert replica.peers_stub.sent == []
 
-    # Guards against: the same rest, that each of many entries is asked for, told as many times.
-    async def test_that_many_entries_tell_are_passed_on_once(self):
+    # Guards against: a back-off that a server asks of many entries is relayed once per entry.
+    async def test_backoff_reported_by_many_entries_is_relayed_once(self):
         replica = Replica()
         for _ in range(39):
-            replica.hear(rest(3_000))
-        assert len(replica.told) == 1
-        replica.hear(rest(3_000 + round(SAME_REST_S * 1_000) + 100))
-        assert len(replica.told) == 2
+            replica.receive(backoff(3_000))
+        assert len(replica.changes) == 1
+        replica.receive(backoff(3_000 + round(MIN_BACKOFF_CHANGE_S * 1_000) + 100))
+        assert len(replica.changes) == 2
 
-    async def test_end(self):
+    async def test_backoff_expires(self):
         replica = Replica()
-        replica.hear(rest(30), rest(60_000, "i-2@7"))
+        replica.receive(backoff(30), backoff(60_000, "i-2@7"))
         assert replica.relay.lives_in_backoff() == {"i-1@7", "i-2@7"}
         await asyncio.sleep(0.05)
         assert replica.relay.lives_in_backoff() == {"i-2@7"}
@@ -97,31 +97,31 @@
 
     @pytest.mark.parametrize(
         "word",
-        [ServerWord(rest_ms=9), rest(-1), leaving("")],
+        [ServerWord(rest_ms=9), backoff(-1), leaving("")],
     )
-    async def test_that_are_malformed_are_not_taken(self, word):
+    async def test_malformed_report_rejects_the_message(self, word):
         replica = Replica()
-        replica.hear(rest(3_000), word)
-        assert (replica.told, replica.leaving.lives) == ([], [])
+        replica.receive(backoff(3_000), word)
+        assert (replica.changes, replica.leaving.lives) == ([], [])
 
 
 class TestLeaving:
-    async def test_goes_the_way_of_heartbeats_and_is_passed_on_once(self):
+    async def test_leaving_goes_to_the_registry_and_is_relayed_once(self):
         replica = Replica()
         for _ in range(2):
-            replica.hear(leaving())
+            replica.receive(leaving())
         assert replica.leaving.lives == ["i-1@7", "i-1@7"]
-        assert [address for address, _ in replica.posts.sent] == ["b", "c"]
-        assert replica.told == []
+        assert [address for address, _ in replica.peers_stub.sent] == ["b", "c"]
+        assert replica.changes == []
 
 
-class TestWhoTold:
-    # Guards against: another replica names the one that passed a word on as who heard it.
-    async def test_is_the_vm_that_heard_it_at_every_replica(self):
+class TestReporter:
+    # Guards against: another replica names the relaying replica as the reporter.
+    async def test_reporter_is_the_vm_of_the_entry_at_every_replica(self):
         first, second = Replica(), Replica()
-        first.hear(leaving(), rest(3_000, "i-2@7"), vm="entry-3")
-        _, passed_on = first.posts.sent[0]
-        second.hear(*passed_on.words, address="a", vm="control-1")
+        first.receive(leaving(), backoff(3_000, "i-2@7"), vm="entry-3")
+        _, relayed = first.peers_stub.sent[0]
+        second.receive(*relayed.words, address="a", vm="control-1")
         for replica in (first, second):
             known = replica.relay.backoff("i-2@7")
             assert known is not None
--- a/tests/control/test_use_aggregator.py
+++ b/tests/control/test_use_aggregator.py
@@ -1,4 +1,4 @@
-"""Tests of what entries have at engines: summed up at replicas, without the one that asks."""
+"""Sums of entries' use of engines at control replicas, without the entry that asks."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Node:
-    """A replica on loopback with nothing but its uses."""
+    """A control replica on loopback that only aggregates uses."""
 
     def __init__(self, address: str, replicas: list[str]) -> None:
         self.address = address
@@ -50,7 +50,7 @@
         await self.server.stop()
 
 
-def with_nodes(work: Callable[[Node, Node], Awaitable[None]]) -> None:
+def run_with_nodes(work: Callable[[Node, Node], Awaitable[None]]) -> None:
     async def run() -> None:
         take = LoopbackAddresses()
         addresses = [take(vm, Listener.WIRE) for vm in ("one", "two")]
@@ -66,7 +66,7 @@
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
-async def tell(
+async def send_use_report(
     node: Node,
     vm: str,
     uses: dict[str, Use],
@@ -74,11 +74,11 @@
     whole: bool = False,
     decisions: dict[str, DecisionCounts] | None = None,
 ) -> PeerPool:
-    """Report as an entry does."""
+    """Send a use report as an entry does."""
     peers = PeerPool(vm=vm, failure_domain="d", token=TOKEN, handlers=HandlerTable())
     connection = (await peers.connection(node.address)).unwrap()
-    told = None if decisions is None else encode_decisions(decisions)
-    connection.oneway(UseReport(*encode_uses(uses), whole, told))
+    decision_records = None if decisions is None else encode_decisions(decisions)
+    connection.oneway(UseReport(*encode_uses(uses), whole, decision_records))
     return peers
 
 
@@ -86,13 +86,13 @@
     return Use(requests=requests, unread_tokens=unread_tokens)
 
 
-class TestEngineUses:
-    def test_sums_entries_at_both_replicas_and_leaves_the_asker_out(self):
+class TestUseAggregator:
+    def test_total_sums_entries_of_both_replicas_without_the_excluded_one(self):
         async def work(one: Node, two: Node) -> None:
             peers = [
-                await tell(one, "entry-1", {FIRST: use(2, 500)}),
-                await tell(one, "entry-2", {FIRST: use(3), SECOND: use(1, 70)}),
-                await tell(two, "entry-3", {FIRST: use(4, 20)}),
+                await send_use_report(one, "entry-1", {FIRST: use(2, 500)}),
+                await send_use_report(one, "entry-2", {FIRST: use(3), SECOND: use(1, 70)}),
+                await send_use_report(two, "entry-3", {FIRST: use(4, 20)}),
             ]
             await eventually(lambda: one.uses.total(FIRST) == use(9, 520))
             await eventually(lambda: two.uses.total(FIRST) == use(9, 520))
@@ -102,34 +102,34 @@
             for pool in peers:
                 await pool.stop()
 
-        with_nodes(work)
+        run_with_nodes(work)
 
-    def test_a_whole_report_takes_back_what_it_does_not_name(self):
+    def test_full_report_resets_engines_that_it_does_not_list(self):
         async def work(one: Node, two: Node) -> None:
-            peers = await tell(one, "entry-1", {FIRST: use(2), SECOND: use(1)})
+            peers = await send_use_report(one, "entry-1", {FIRST: use(2), SECOND: use(1)})
             await eventually(lambda: two.uses.total(SECOND) == use(1))
-            again = await tell(one, "entry-1", {FIRST: use(1)}, whole=True)
+            again = await send_use_report(one, "entry-1", {FIRST: use(1)}, whole=True)
             await eventually(lambda: two.uses.total(SECOND) == use(0))
             assert two.uses.total(FIRST) == use(1)
             await peers.stop()
             await again.stop()
 
-        with_nodes(work)
+        run_with_nodes(work)
 
-    def test_an_entry_that_left_the_feed_counts_no_more_anywhere(self):
+    def test_removed_entry_is_subtracted_at_all_replicas(self):
         async def work(one: Node, two: Node) -> None:
-            peers = await tell(one, "entry-1", {FIRST: use(2)})
+            peers = await send_use_report(one, "entry-1", {FIRST: use(2)})
             await eventually(lambda: two.uses.total(FIRST) == use(2))
             one.uses.remove_entry("entry-1")
             assert one.uses.total(FIRST) == use(0)
             await eventually(lambda: two.uses.total(FIRST) == use(0))
             await peers.stop()
 
-        with_nodes(work)
+        run_with_nodes(work)
 
-    def test_what_was_told_too_long_ago_counts_no_more(self):
+    def test_expired_report_is_subtracted(self):
         async def work(one: Node, two: Node) -> None:
-            peers = await tell(one, "entry-1", {FIRST: use(2)})
+            peers = await send_use_report(one, "entry-1", {FIRST: use(2)})
             await eventually(lambda: one.uses.total(FIRST) == use(2))
             changes: list[set[str]] = []
             one.uses.on_change(lambda engines, vm: changes.append(engines))
@@ -139,11 +139,11 @@
             assert {FIRST} in changes
             await peers.stop()
 
-        with_nodes(work)
+        run_with_nodes(work)
 
-    def test_what_cannot_be_understood_changes_nothing(self):
+    def test_malformed_report_is_ignored(self):
         async def work(one: Node, two: Node) -> None:
-            peers = await tell(one, "entry-1", {FIRST: use(2)})
+            peers = await send_use_report(one, "entry-1", {FIRST: use(2)})
             await eventually(lambda: one.uses.total(FIRST) == use(2))
             connection = (await peers.connection(one.address)).unwrap()
             connection.oneway(UseReport([FIRST], [EngineUse(7, 1, 0)], True))
@@ -153,11 +153,11 @@
             assert one.uses.total(FIRST) == use(2)
             await peers.stop()
 
-        with_nodes(work)
+        run_with_nodes(work)
 
 
 class TestUseRecords:
-    def test_come_back_as_they_were(self):
+    def test_round_trip_preserves_uses(self):
         uses = {FIRST: use(2, 500), SECOND: use(0)}
         assert decode_uses(*encode_uses(uses)).unwrap() == uses
 
@@ -165,21 +165,21 @@
         "record",
         [EngineUse(1, 1, 1), EngineUse(-1, 1, 1), EngineUse(0, -1, 0), EngineUse(0, 0, -1)],
     )
-    def test_that_cannot_be_are_refused(self, record):
+    def test_invalid_record_is_rejected(self, record):
         assert decode_uses([FIRST], [record]).unwrap_err().code is Code.FRAME_MALFORMED
 
 
 class TestDecisions:
-    def test_what_entries_refused_is_summed_up_at_both_replicas_without_the_asker(self):
+    def test_refusals_are_summed_at_both_replicas_without_the_excluded_entry(self):
         async def work(one: Node, two: Node) -> None:
             peers = [
-                await tell(
+                await send_use_report(
                     one, "entry-1", {}, decisions={"m": DecisionCounts(made=10.0, refused=4.0)}
                 ),
-                await tell(
+                await send_use_report(
                     one, "entry-2", {}, decisions={"m": DecisionCounts(made=10.0, refused=1.0)}
                 ),
-                await tell(
+                await send_use_report(
                     two, "entry-3", {}, decisions={"m": DecisionCounts(made=10.0, refused=7.0)}
                 ),
             ]
@@ -190,9 +190,9 @@
             for pool in peers:
                 await pool.stop()
 
-        with_nodes(work)
+        run_with_nodes(work)
 
-    def test_where_nobody_was_refused_nothing_travels(self):
+    def test_nothing_is_encoded_without_refusals(self):
         assert encode_decisions({"m": DecisionCounts(made=50.0, refused=0.0)}) == []
 
 
