--- a/tests/routing/test_index_updates.py
+++ b/tests/routing/test_index_updates.py
@@ -1,4 +1,4 @@
-"""The index after any changes finds what an index made anew from all items finds."""
+"""An index after any updates gives the same results as a new index over all items."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 PATHS = ("/", "/x", "/x/", "/x/y/q", "/xy/q", "/x/y/z/q", "/odder", "q")
 KEYS = ("k0", "k1", "k2")
 
-places = st.tuples(st.sampled_from(HOSTS), st.sampled_from(PREFIXES))
-holders = st.dictionaries(st.sampled_from(KEYS), st.sampled_from(["g0", "g1"]))
+prefixes = st.tuples(st.sampled_from(HOSTS), st.sampled_from(PREFIXES))
+groups_by_key = st.dictionaries(st.sampled_from(KEYS), st.sampled_from(["g0", "g1"]))
 tables = st.tuples(
-    st.dictionaries(places, st.integers(1, 3), max_size=8),
-    holders,
+    st.dictionaries(prefixes, st.integers(1, 3), max_size=8),
+    groups_by_key,
     st.sets(st.sampled_from(["s", "t", "u"])),
 )
 
@@ -51,8 +51,8 @@
     )
 
 
-def seen(index: RouteIndex) -> dict[str, object]:
-    """Give everything that an index answers."""
+def snapshot(index: RouteIndex) -> dict[str, object]:
+    """Return the results of all look-ups in an index."""
     return {
         "routes": {(host, path): index.route(host, path) for host in HOSTS for path in PATHS},
         "groups": {key: index.organisation(key) for key in KEYS},
@@ -61,42 +61,42 @@
     }
 
 
-def naive(catalog: Catalog, host: str, path: str):
-    """Find the route by looking at all of them."""
-    fitting = [
+def find_by_scan(catalog: Catalog, host: str, path: str):
+    """Find a route by scanning all of them."""
+    matching = [
         found
         for found in (item.value for item in catalog.items().values())
         if hasattr(found, "path_prefix")
         and found.host.lower() == host.lower()
         and path.startswith(found.path_prefix)
     ]
-    return max(fitting, key=lambda found: len(found.path_prefix), default=None)
+    return max(matching, key=lambda found: len(found.path_prefix), default=None)
 
 
-class TestAnyChanges:
+class TestUpdates:
     @given(st.lists(tables, max_size=6))
-    def test_end_as_if_made_anew(self, drawn):
+    def test_updated_index_equals_a_new_index(self, drawn):
         catalog = Catalog()
         index = RouteIndex(catalog=catalog)
         for number, each in enumerate(drawn, start=1):
             items = changed_items(table(number, each), catalog.items(), revision=number)
             catalog.apply(items, revision=number)
-            assert seen(index) == seen(RouteIndex(catalog=catalog))
+            assert snapshot(index) == snapshot(RouteIndex(catalog=catalog))
             for host in HOSTS:
                 for path in PATHS:
-                    assert index.route(host, path) == naive(catalog, host, path)
+                    assert index.route(host, path) == find_by_scan(catalog, host, path)
 
 
-class TestItemsInAnyOrder:
+class TestItemsAfter:
     @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(1, 30))), st.integers(0, 30))
-    def test_are_given_by_revision(self, told, since):
+    def test_items_after_are_sorted_by_revision(self, changes, since):
         from tests.state.test_catalog import item
 
         catalog = Catalog()
-        for group, revision in told:
+        for group, revision in changes:
             catalog.apply([item(revision, group=group)], revision=revision)
         newest = {}
-        for group, revision in told:
+        for group, revision in changes:
             newest[group] = max(revision, newest.get(group, 0))
         expected = sorted(revision for revision in newest.values() if revision > since)
         assert [found.revision for found in catalog.items_after(since)] == expected
--- a/tests/routing/test_tables.py
+++ b/tests/routing/test_tables.py
@@ -1,4 +1,4 @@
-"""Route tables: what is invalid, what a change travels as, which route a request finds."""
+"""Validation, replacement and look-up of route tables."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
     return RouteTable(number=number, routes=routes or (route(),), **given)
 
 
-class TestValidity:
-    def test_of_a_good_table(self):
+class TestCheckTable:
+    def test_valid_table_has_no_failure(self):
         assert check_table(table()) is None
 
     @pytest.mark.parametrize(
@@ -73,13 +73,13 @@
             ),
         ],
     )
-    def test_names_what_is_wrong(self, bad, field):
+    def test_failure_names_the_invalid_field(self, bad, field):
         failure = check_table(bad)
         assert failure.code is Code.TABLE_INVALID
         assert failure.field == field
 
 
-def replaced(*tables: RouteTable) -> StateMachine:
+def machine_with(*tables: RouteTable) -> StateMachine:
     machine = StateMachine()
     for index, each in enumerate(tables, start=1):
         machine.apply(index, replacement(each, f"document {each.number}".encode()))
@@ -87,40 +87,40 @@
 
 
 class TestReplacement:
-    def test_the_highest_number_is_in_force(self):
-        machine = replaced(table(5), table(3, route(prefix="/old/")))
+    def test_table_with_the_highest_number_is_in_force(self):
+        machine = machine_with(table(5), table(3, route(prefix="/old/")))
         assert held_number(machine.catalog) == 5
         assert machine.route_tables.document() == b"document 5"
 
-    def test_the_lowest_number_is_in_force_until_a_higher_one_comes(self):
-        machine = replaced(table(0))
+    def test_table_with_the_lowest_number_is_accepted_first(self):
+        machine = machine_with(table(0))
         assert RouteIndex(catalog=machine.catalog).has_table
         assert machine.route_tables.document() == b"document 0"
 
-    def test_other_content_under_the_same_number_changes_nothing(self):
-        machine = replaced(table(5), table(5, route(prefix="/other/")))
+    def test_other_content_with_the_same_number_is_ignored(self):
+        machine = machine_with(table(5), table(5, route(prefix="/other/")))
         assert RouteIndex(catalog=machine.catalog).route("h.example", "/other/x") is None
 
     def test_only_what_changed_gets_a_new_revision(self):
         many = tuple(route(f"r{number}", prefix=f"/{number}/") for number in range(300))
-        machine = replaced(table(1, *many), table(2, *many, route("new", prefix="/new/")))
+        machine = machine_with(table(1, *many), table(2, *many, route("new", prefix="/new/")))
         changed = [item.key for item in machine.catalog.items_after(1)]
         assert sorted(changed) == ["route/h.example/new/", "table"]
 
-    def test_what_is_gone_is_told(self):
-        machine = replaced(table(1), table(2, route(prefix="/b/")))
+    def test_removed_route_becomes_an_item_without_value(self):
+        machine = machine_with(table(1), table(2, route(prefix="/b/")))
         gone = [item.key for item in machine.catalog.items_after(1) if item.value is None]
         assert gone == ["route/h.example/a/"]
 
-    def test_lasts_over_a_snapshot(self):
-        machine = replaced(table(5))
+    def test_table_survives_a_snapshot(self):
+        machine = machine_with(table(5))
         again = StateMachine()
         again.restore(machine.snapshot())
         assert held_number(again.catalog) == 5
         assert again.route_tables.document() == b"document 5"
         assert RouteIndex(catalog=again.catalog).route("h.example", "/a/x") is not None
 
-    def test_of_nothing_is_no_change(self):
+    def test_same_table_changes_no_items(self):
         held = Catalog()
         first = changed_items(table(1), held.items(), revision=1)
         held.apply(first, revision=1)
@@ -128,25 +128,25 @@
 
 
 class TestIndex:
-    def test_the_longest_prefix_wins(self):
-        catalog = replaced(table(1, route("a"), route("b", prefix="/a/b/"))).catalog
+    def test_longest_prefix_wins(self):
+        catalog = machine_with(table(1, route("a"), route("b", prefix="/a/b/"))).catalog
         index = RouteIndex(catalog=catalog)
         assert index.route("H.example", "/a/b/c").name == "b"
         assert index.route("h.example", "/a/c").name == "a"
         assert index.route("h.example", "/ab/c") is None
         assert index.route("other.example", "/a/c") is None
 
-    def test_follows_changes_forwards(self):
-        machine = replaced(table(1))
+    def test_index_follows_a_new_table(self):
+        machine = machine_with(table(1))
         index = RouteIndex(catalog=machine.catalog)
         machine.apply(2, replacement(table(2, route(prefix="/b/")), b""))
         assert index.number == 2
         assert index.route("h.example", "/a/x") is None
         assert index.route("h.example", "/b/x") is not None
 
-    def test_finds_the_group_of_a_key_until_it_is_taken_away(self):
+    def test_group_of_a_key_is_found_until_the_key_is_removed(self):
         groups = (Organisation(name="g", key_sha256s=(digest("k1"), digest("k2"))),)
-        machine = replaced(table(1, organisations=groups, keyed=True))
+        machine = machine_with(table(1, organisations=groups, keyed=True))
         index = RouteIndex(catalog=machine.catalog)
         assert index.organisation("k1").name == "g"
         assert index.organisation("k3") is None
@@ -155,7 +155,7 @@
         assert index.organisation("k1") is None
         assert index.keyed
 
-    def test_knows_nothing_at_first(self):
+    def test_index_of_an_empty_catalog_has_no_table(self):
         assert not RouteIndex(catalog=Catalog()).has_table
 
 
@@ -163,13 +163,13 @@
 
 
 class TestVersions:
-    def test_named_ones_only_go_up(self):
+    def test_naming_a_lower_version_is_ignored(self):
         machine = StateMachine()
         for index, number in enumerate((2, 3, 1), start=1):
             machine.apply(index, NameVersion(model="m", number=number))
         assert [found.number for found in versions_of(machine.catalog, "m")] == [3, 2]
 
-    def test_the_first_description_stays(self):
+    def test_first_description_is_kept(self):
         machine = StateMachine()
         machine.apply(1, NameVersion(model="m", number=2))
         machine.apply(2, DescribeVersion(model="m", number=2, manifest=MANIFEST))
@@ -179,7 +179,7 @@
         assert found.named
         assert found.manifest == MANIFEST
 
-    def test_naming_again_keeps_the_description(self):
+    def test_naming_keeps_the_description(self):
         machine = StateMachine()
         machine.apply(1, DescribeVersion(model="m", number=1, manifest=MANIFEST))
         machine.apply(2, NameVersion(model="m", number=1))
@@ -187,7 +187,7 @@
         assert found.named
         assert found.manifest == MANIFEST
 
-    def test_old_ones_are_forgotten(self):
+    def test_old_versions_are_removed(self):
         machine = StateMachine()
         for number in range(1, 9):
             machine.apply(number, NameVersion(model="m", number=number))
