--- a/src/leadhollow/entry/assembly.py
+++ b/src/leadhollow/entry/assembly.py
@@ -4,15 +4,15 @@
 
 from typing import TYPE_CHECKING
 
-from leadhollow.entry.attempts import AttemptRunner
-from leadhollow.entry.callers import CallerHttp
-from leadhollow.entry.claims import KeyClaims
-from leadhollow.entry.demand import DemandReporter
-from leadhollow.entry.pump import SchedulerPump
+from leadhollow.entry.attempt_runner import AttemptRunner
+from leadhollow.entry.caller_server import CallerHttpServer
+from leadhollow.entry.demand_reporter import DemandReporter
+from leadhollow.entry.group_limits import GroupShareLimits, StaticPart
+from leadhollow.entry.idempotency import KeyClaims
 from leadhollow.entry.retry_budget import RetryBudget
 from leadhollow.entry.router import Router
 from leadhollow.entry.scheduler import FairScheduler
-from leadhollow.entry.share import GroupShareLimits, StaticPart
+from leadhollow.entry.scheduler_service import SchedulerPump
 from leadhollow.membership.catalog_feed import CatalogFeed
 from leadhollow.membership.view import ViewFeed
 from leadhollow.settings.model import EntrySettings, Settings
@@ -74,7 +74,7 @@
         peers=process.peers,
         budget=RetryBudget(ratio=entry.retry_ratio),
     )
-    return CallerHttp(
+    return CallerHttpServer(
         settings=entry,
         catalog=catalog,
         runner=runner,
--- a/src/leadhollow/entry/attempts.py
+++ b/src/leadhollow/entry/attempt_runner.py
@@ -6,8 +6,8 @@
 
 from leadhollow.codes import Code, Outcome
 from leadhollow.entry.call import Call, with_resume
-from leadhollow.entry.ending import Ending
-from leadhollow.entry.relay import CallerSink, Delivered, Relay
+from leadhollow.entry.call_result import Ending
+from leadhollow.entry.response_relay import CallerSink, Delivered, Relay
 from leadhollow.entry.retry_budget import RetryBudget
 from leadhollow.entry.router import ENGINE_KIND, SERVICE_KIND, Choice, Router, Wish
 from leadhollow.entry.scheduler import FairScheduler, Ticket
--- a/src/leadhollow/entry/call_reader.py
+++ b/src/leadhollow/entry/call_parser.py
@@ -20,8 +20,8 @@
     chat_prompt_tokens,
     decode_chat,
 )
-from leadhollow.entry.claims import parse_key
-from leadhollow.entry.ending import DEADLINE_HEADER, REPEATABLE_HEADER
+from leadhollow.entry.call_result import DEADLINE_HEADER, REPEATABLE_HEADER
+from leadhollow.entry.idempotency import parse_key
 from leadhollow.failure import Failure
 from leadhollow.settings.model import EntrySettings
 from leadhollow.state.catalog import Catalog
--- a/src/leadhollow/entry/callers.py
+++ b/src/leadhollow/entry/caller_server.py
@@ -9,17 +9,17 @@
 from result import Err, Ok, Result
 
 from leadhollow.codes import Code
-from leadhollow.entry.answers import AnswerWriter
-from leadhollow.entry.attempts import AttemptRunner
+from leadhollow.entry.attempt_runner import AttemptRunner
 from leadhollow.entry.call import Call
-from leadhollow.entry.call_reader import CallReader, new_request_id
-from leadhollow.entry.claims import KeptAnswer, KeyClaims, ending_of_claim
-from leadhollow.entry.ending import (
+from leadhollow.entry.call_parser import CallReader, new_request_id
+from leadhollow.entry.call_result import (
     REPLAYED_HEADER,
     Ending,
     outcome_headers,
     refused,
 )
+from leadhollow.entry.idempotency import KeptAnswer, KeyClaims, ending_of_claim
+from leadhollow.entry.response_writer import AnswerWriter
 from leadhollow.failure import Failure
 from leadhollow.observe.logs import get_logger
 from leadhollow.observe.metrics import Metrics
@@ -35,7 +35,7 @@
 log = get_logger("callers")
 
 
-class CallerHttp:
+class CallerHttpServer:
     """Listener for callers of one entry."""
 
     __slots__ = (
--- a/src/leadhollow/entry/demand.py
+++ b/src/leadhollow/entry/demand_reporter.py
@@ -7,8 +7,8 @@
 from result import Err, Result
 
 from leadhollow.codes import Code
+from leadhollow.entry.group_limits import GroupShareLimits
 from leadhollow.entry.scheduler import FairScheduler
-from leadhollow.entry.share import GroupShareLimits
 from leadhollow.failure import Failure
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.settings.model import Settings
--- a/src/leadhollow/entry/claims.py
+++ b/src/leadhollow/entry/idempotency.py
@@ -6,7 +6,7 @@
 
 from leadhollow.codes import Code, Outcome, code_of
 from leadhollow.entry.call import Call
-from leadhollow.entry.ending import Ending
+from leadhollow.entry.call_result import Ending
 from leadhollow.failure import Failure
 from leadhollow.observe.logs import get_logger
 from leadhollow.state.client import StateClient
--- a/src/leadhollow/entry/answers.py
+++ b/src/leadhollow/entry/response_writer.py
@@ -5,8 +5,7 @@
 from aiohttp import web
 
 from leadhollow.entry.call import Call
-from leadhollow.entry.claims import KeptAnswer
-from leadhollow.entry.ending import (
+from leadhollow.entry.call_result import (
     CODE_HEADER,
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
@@ -14,6 +13,7 @@
     last_events,
     outcome_headers,
 )
+from leadhollow.entry.idempotency import KeptAnswer
 
 BUFFER_BYTES = 1024 * 1024
 HOP_HEADERS = frozenset({"connection", "transfer-encoding", "content-length", "keep-alive"})
--- a/src/leadhollow/entry/scheduler.py
+++ b/src/leadhollow/entry/scheduler.py
@@ -9,8 +9,8 @@
 from result import Err, Ok, Result
 
 from leadhollow.codes import Code
+from leadhollow.entry.group_limits import GroupShareLimits
 from leadhollow.entry.router import Choice
-from leadhollow.entry.share import GroupShareLimits
 from leadhollow.failure import Failure
 from leadhollow.kernel.active_time import deadline_at
 from leadhollow.settings.model import QueueOrder
--- a/src/leadhollow/entry/pump.py
+++ b/src/leadhollow/entry/scheduler_service.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
+from leadhollow.entry.group_limits import GroupShareLimits
 from leadhollow.entry.scheduler import FairScheduler
-from leadhollow.entry.share import GroupShareLimits
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.membership.view import DomainView
 
--- a/src/leadhollow/node/entry_role.py
+++ b/src/leadhollow/node/entry_role.py
@@ -40,7 +40,7 @@
 TIDY_INTERVAL_S = 1.0  # between two looks for backend servers that are gone
 
 
-class Dispatching(TaskService):
+class EntryDispatcher(TaskService):
     """What the requests of one entry share; its task looks after those that wait."""
 
     __slots__ = (
@@ -167,7 +167,7 @@
         return feed
 
     def make_dispatching() -> Service:
-        return Dispatching(
+        return EntryDispatcher(
             process=process,
             feed=kernel.get("feed", ControlFeed),
             pool=kernel.get("pool", ConnectionPool),
@@ -175,7 +175,7 @@
 
     def make_reporter() -> Service:
         feed = kernel.get("feed", ControlFeed)
-        shared = kernel.get("dispatching", Dispatching)
+        shared = kernel.get("dispatching", EntryDispatcher)
         return UseReporter(
             board=shared.board,
             decisions=shared.queue.decisions,
@@ -184,20 +184,20 @@
         )
 
     def make_suspects() -> Service:
-        return kernel.get("dispatching", Dispatching).suspects
+        return kernel.get("dispatching", EntryDispatcher).suspects
 
     def make_limits() -> Service:
-        return kernel.get("dispatching", Dispatching).limits
+        return kernel.get("dispatching", EntryDispatcher).limits
 
     def make_self_reports() -> Service:
-        return kernel.get("dispatching", Dispatching).self_reports
+        return kernel.get("dispatching", EntryDispatcher).self_reports
 
     def make_prober() -> Service:
-        board = kernel.get("dispatching", Dispatching).board
+        board = kernel.get("dispatching", EntryDispatcher).board
         return PathProber(board=board, pool=kernel.get("pool", ConnectionPool))
 
     def make_callers() -> Service:
-        shared = kernel.get("dispatching", Dispatching)
+        shared = kernel.get("dispatching", EntryDispatcher)
         return CallerListener(
             address=Address.parse(settings.callers or "").unwrap(),
             dialect=process.dialects.calls,
@@ -213,7 +213,7 @@
 
     def make_readiness() -> Service:
         feed = kernel.get("feed", ControlFeed)
-        shared = kernel.get("dispatching", Dispatching)
+        shared = kernel.get("dispatching", EntryDispatcher)
         callers = kernel.get("callers", CallerListener)
 
         isolation = IsolationDetector(
--- a/src/leadhollow/standin/caller.py
+++ b/src/leadhollow/standin/caller.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from leadhollow.codes import Outcome
-from leadhollow.entry.ending import (
+from leadhollow.entry.call_result import (
     CODE_HEADER,
     DEADLINE_HEADER,
     OUTCOME_HEADER,
--- a/src/leadhollow/standin/site.py
+++ b/src/leadhollow/standin/site.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from leadhollow.codes import Code
-from leadhollow.entry.callers import CallerHttp
+from leadhollow.entry.caller_server import CallerHttpServer
 from leadhollow.failure import Failure
 from leadhollow.operator_client import OperatorClient
 from leadhollow.process import Process
@@ -142,7 +142,7 @@
 
     def entry_url(self, vm: str) -> str:
         """Callers' address of an entry."""
-        address = self.processes[vm].kernel.get("callers", CallerHttp).address
+        address = self.processes[vm].kernel.get("callers", CallerHttpServer).address
         return f"http://{address}"
 
     def entry_urls(self) -> list[str]:
--- a/tests/cli/test_quarantine_commands.py
+++ b/tests/cli/test_quarantine_commands.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.cli.test_application import run
-from tests.node.crashing import POISON, CrashingServer, Farm
+from tests.node.crashing import POISON, CrashingServer, CrashLog
 from tests.node.site import Site, route
 from tests.support import eventually
 
@@ -22,11 +22,12 @@
 
 def with_held_request(folder: Path, work) -> None:
     """Run with a site in which one request is in quarantine."""
-    farm = Farm()
+    crash_log = CrashLog()
 
     async def go() -> None:
         servers = [
-            CrashingServer(number=number, service="service", farm=farm) for number in range(8)
+            CrashingServer(number=number, service="service", crash_log=crash_log)
+            for number in range(8)
         ]
         async with Site(folder=folder, servers=servers, entries=2) as site:
             await site.put_routes(route("/ask/", "service"))
@@ -36,7 +37,7 @@
                 await site.post("/ask/p", POISON, entry=number % 2)
                 await asyncio.sleep(0.15)
             assert await site.post("/ask/p", POISON) == 503
-            await work(site, farm, site._control_settings.wire_address)
+            await work(site, crash_log, site._control_settings.wire_address)
 
     asyncio.run(asyncio.wait_for(go(), 90))
 
@@ -47,7 +48,7 @@
 
 class TestQuarantine:
     def test_is_listed_shown_and_released(self, tmp_path):
-        async def work(site: Site, farm: Farm, replica: str) -> None:
+        async def work(site: Site, crash_log: CrashLog, replica: str) -> None:
             listed = json.loads((await ask("quarantine", "list", replica, "--json")).stdout)
             assert [found["released"] for found in listed] == [False]
             fingerprint = listed[0]["fingerprint"]
@@ -55,9 +56,9 @@
             assert shown.count("i-") == 3
             released = await ask("quarantine", "release", replica, fingerprint[:12])
             assert released.returncode == 0
-            before = len(farm.arrivals_s)
+            before = len(crash_log.arrivals_s)
             await site.post("/ask/p", POISON, entry=1)
-            assert len(farm.arrivals_s) > before
+            assert len(crash_log.arrivals_s) > before
             again = await ask("quarantine", "release", replica, fingerprint)
             assert (again.returncode, "[412]" in again.stderr) == (4, True)
             assert "held" not in (await ask("quarantine", "list", replica)).stdout
@@ -69,7 +70,7 @@
         ("fingerprint", "code"), [(UNKNOWN, "[412]"), ("no digits", "[413]"), ("", "[413]")]
     )
     def test_of_a_request_that_nobody_knows_changes_nothing(self, tmp_path, fingerprint, code):
-        async def work(site: Site, farm: Farm, replica: str) -> None:
+        async def work(site: Site, crash_log: CrashLog, replica: str) -> None:
             ended = await ask("quarantine", "release", replica, fingerprint)
             assert (ended.returncode, code in ended.stderr) == (4, True)
             assert await site.post("/ask/p", POISON, entry=1) == 503
@@ -77,7 +78,7 @@
         with_held_request(tmp_path, work)
 
     def test_is_not_told_to_who_has_no_right(self, tmp_path):
-        async def work(site: Site, farm: Farm, replica: str) -> None:
+        async def work(site: Site, crash_log: CrashLog, replica: str) -> None:
             arguments = ("quarantine", "release", replica, UNKNOWN)
             ended = await ask(*arguments, LEADHOLLOW_WIRE_TOKEN="another")
             assert (ended.returncode, "[704]" in ended.stderr) == (7, True)
--- a/tests/cli/test_servers_command.py
+++ b/tests/cli/test_servers_command.py
@@ -27,7 +27,9 @@
             servers[0].leaving = True
             servers[1].retry_after = "60"
             async with Load(site=site, entries=[0]):
-                await eventually(lambda: servers[0].told_s and servers[1].told_s, "both words")
+                await eventually(
+                    lambda: servers[0].first_report_s and servers[1].first_report_s, "both words"
+                )
             await site.pause()
             leaving, resting = json.loads((await ask(replica, "--json")).stdout)
             assert (leaving["server"], leaving["state"]) == ("i-0.1", "draining")
--- a/tests/config_path/site.py
+++ b/tests/config_path/site.py
@@ -25,7 +25,7 @@
 from leadhollow.kernel import active_time, clocks
 from leadhollow.membership.control_feed import ControlFeed
 from leadhollow.membership.naming_times import NamingTimes
-from leadhollow.node.entry_role import Dispatching
+from leadhollow.node.entry_role import EntryDispatcher
 from leadhollow.node.process import NodeProcess
 from leadhollow.platform.serve import platform_dialects
 from leadhollow.settings.address import Address
@@ -290,7 +290,7 @@
         for host in ENTRIES:
             process = self.processes.get(host)
             if process is not None:
-                self.record.seen(host, process.kernel.get("dispatching", Dispatching).routes)
+                self.record.seen(host, process.kernel.get("dispatching", EntryDispatcher).routes)
 
     def settle(self) -> None:
         """Heal everything and wait until all are up and calm."""
--- a/tests/entry/test_scheduler.py
+++ b/tests/entry/test_scheduler.py
@@ -8,9 +8,9 @@
 import pytest
 
 from leadhollow.codes import Code
+from leadhollow.entry.group_limits import GroupShareLimits, StaticPart
 from leadhollow.entry.router import Choice
 from leadhollow.entry.scheduler import FairScheduler
-from leadhollow.entry.share import GroupShareLimits, StaticPart
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.records import CatalogItem, Limits, StoredRow
 from leadhollow.wire.generated.ttypes import MemberView
--- a/tests/node/crashing.py
+++ b/tests/node/crashing.py
@@ -14,7 +14,7 @@
 RESTART_S = 0.25
 
 
-class Farm:
+class CrashLog:
     """What all servers of a test saw, by loop time."""
 
     def __init__(self) -> None:
@@ -37,9 +37,11 @@
         How long it runs such a request until it ends.
     """
 
-    def __init__(self, *, number: int, service: str, farm: Farm, run_s: float = 0.02) -> None:
+    def __init__(
+        self, *, number: int, service: str, crash_log: CrashLog, run_s: float = 0.02
+    ) -> None:
         super().__init__(instance=f"i-{number}.1", service=service)
-        self.farm = farm
+        self.crash_log = crash_log
         self.run_s = run_s
         self.lives = 1
         self.only_resets = False
@@ -70,7 +72,7 @@
         if POISON not in body:
             return await self._answer_well(request)
         if request.headers.get("X-Expect-Instance") == self.instance:
-            self.farm.arrivals_s.append(asyncio.get_running_loop().time())
+            self.crash_log.arrivals_s.append(asyncio.get_running_loop().time())
         await asyncio.sleep(self.run_s)
         if request.headers.get("X-Expect-Instance") != self.instance or self.silent:
             return web.Response(status=421)
@@ -89,7 +91,7 @@
     async def _end(self) -> None:
         """End as a process does: all connections break, and nobody listens any more."""
         self.silent = True
-        self.farm.ends_s.append(asyncio.get_running_loop().time())
+        self.crash_log.ends_s.append(asyncio.get_running_loop().time())
         await self._site.stop()
         assert self._runner is not None
         server = self._runner.server
--- a/tests/node/limiting.py
+++ b/tests/node/limiting.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from tests.node.crashing import CrashingEngine, CrashingServer, Farm
+from tests.node.crashing import CrashingEngine, CrashingServer, CrashLog
 
 
 class Arrivals:
@@ -41,7 +41,7 @@
     limit: str | None = None
 
     def __init__(self, *, number: int, service: str, run_s: float = 0.02) -> None:
-        super().__init__(number=number, service=service, farm=Farm())  # type: ignore[call-arg]
+        super().__init__(number=number, service=service, crash_log=CrashLog())  # type: ignore[call-arg]
         self.answer_s = run_s
         self.arrivals = Arrivals()
 
--- a/tests/node/test_crashing_requests.py
+++ b/tests/node/test_crashing_requests.py
@@ -22,7 +22,7 @@
 
 import pytest
 
-from tests.node.crashing import POISON, CrashingEngine, CrashingServer, Farm
+from tests.node.crashing import POISON, CrashingEngine, CrashingServer, CrashLog
 from tests.node.site import Site, route
 from tests.support import eventually
 
@@ -41,13 +41,17 @@
 
 
 def with_site(
-    folder: Path, kind: str, work: Callable[[Site, Farm], Awaitable[None]], *, run_s: float = 0.02
+    folder: Path,
+    kind: str,
+    work: Callable[[Site, CrashLog], Awaitable[None]],
+    *,
+    run_s: float = 0.02,
 ) -> None:
-    farm = Farm()
+    crash_log = CrashLog()
 
     async def run() -> None:
         servers = [
-            KINDS[kind](number=number, service="service", farm=farm, run_s=run_s)
+            KINDS[kind](number=number, service="service", crash_log=crash_log, run_s=run_s)
             for number in range(SERVERS)
         ]
         async with Site(folder=folder, servers=servers, entries=ENTRIES) as site:
@@ -55,7 +59,7 @@
             for entry in range(ENTRIES):
                 await eventually(lambda entry=entry: served(site, entry), "an answer")
             await site.pause()
-            await work(site, farm)
+            await work(site, crash_log)
 
     asyncio.run(asyncio.wait_for(run(), 60))
 
@@ -77,10 +81,10 @@
 @pytest.mark.parametrize("kind", sorted(KINDS))
 class TestRequestThatEndsItsServers:
     def test_is_sent_no_more_after_the_third(self, tmp_path, kind):
-        async def work(site: Site, farm: Farm) -> None:
+        async def work(site: Site, crash_log: CrashLog) -> None:
             statuses = await send_again(site, 12)
-            assert len(farm.ends_s) >= 3
-            assert farm.arrivals_after_third_end(SPREAD_S) == 0
+            assert len(crash_log.ends_s) >= 3
+            assert crash_log.arrivals_after_third_end(SPREAD_S) == 0
             assert statuses[-ENTRIES:] == [503] * ENTRIES
             for entry in range(ENTRIES):
                 assert await served(site, entry)
@@ -88,7 +92,7 @@
         with_site(tmp_path, kind, work)
 
     def test_ends_no_more_servers_where_it_comes_to_all_entries_at_once(self, tmp_path, kind):
-        async def work(site: Site, farm: Farm) -> None:
+        async def work(site: Site, crash_log: CrashLog) -> None:
             for _ in range(4):
                 sends = [
                     site.post("/ask/p", POISON, entry=entry, fields=FIELDS)
@@ -96,48 +100,50 @@
                 ]
                 await asyncio.gather(*sends)
                 await asyncio.sleep(PAUSE_S)
-            assert 3 <= len(farm.ends_s) <= 2 * ENTRIES  # those that were on their way included
-            assert farm.arrivals_after_third_end(SPREAD_S) == 0
+            assert (
+                3 <= len(crash_log.ends_s) <= 2 * ENTRIES
+            )  # those that were on their way included
+            assert crash_log.arrivals_after_third_end(SPREAD_S) == 0
 
         with_site(tmp_path, kind, work)
 
 
 class TestCallsThatRunWhenTheirRequestIsHeld:
     def test_are_broken_off_before_they_end_another_server(self, tmp_path):
-        async def work(site: Site, farm: Farm) -> None:
+        async def work(site: Site, crash_log: CrashLog) -> None:
             first = asyncio.create_task(send_again(site, 3))
-            await eventually(lambda: len(farm.arrivals_s) == 3, "a third server that runs it")
+            await eventually(lambda: len(crash_log.arrivals_s) == 3, "a third server that runs it")
             await asyncio.sleep(LATE_S)
             statuses = [await site.post("/ask/p", POISON, entry=2, fields=FIELDS), *await first]
             assert 502 in statuses
-            assert len(farm.ends_s) == 3
-            assert len(farm.arrivals_s) == 4
+            assert len(crash_log.ends_s) == 3
+            assert len(crash_log.arrivals_s) == 4
 
         with_site(tmp_path, "plain", work, run_s=2 * LATE_S)
 
 
 class TestVerdict:
     def test_is_known_to_an_entry_that_starts_later(self, tmp_path):
-        async def work(site: Site, farm: Farm) -> None:
+        async def work(site: Site, crash_log: CrashLog) -> None:
             await send_again(site, 6)
             await site.restart_entry(1)
             await eventually(lambda: served(site, 1), "an answer of the new entry")
-            await refused_everywhere(site, farm)
+            await refused_everywhere(site, crash_log)
 
         with_site(tmp_path, "plain", work)
 
     def test_is_told_to_a_control_replica_that_starts_again(self, tmp_path):
-        async def work(site: Site, farm: Farm) -> None:
+        async def work(site: Site, crash_log: CrashLog) -> None:
             await send_again(site, 6)
             await site.restart_control()
             await site.restart_entry(1)
             await eventually(lambda: served(site, 1), "an answer of the new entry")
-            await refused_everywhere(site, farm)
+            await refused_everywhere(site, crash_log)
 
         with_site(tmp_path, "plain", work)
 
     def test_outlasts_all_processes(self, tmp_path):
-        async def work(site: Site, farm: Farm) -> None:
+        async def work(site: Site, crash_log: CrashLog) -> None:
             await send_again(site, 6)
             await asyncio.sleep(PAUSE_S)  # the disk has time
             await site.restart_control()
@@ -145,21 +151,21 @@
                 await site.restart_entry(entry)
             for entry in range(ENTRIES):
                 await eventually(lambda entry=entry: served(site, entry), "an answer")
-            await refused_everywhere(site, farm)
+            await refused_everywhere(site, crash_log)
 
         with_site(tmp_path, "plain", work)
 
 
-async def refused_everywhere(site: Site, farm: Farm) -> None:
+async def refused_everywhere(site: Site, crash_log: CrashLog) -> None:
     """Check that no entry sends the request any more."""
-    before = len(farm.arrivals_s)
+    before = len(crash_log.arrivals_s)
     assert await send_again(site, ENTRIES) == [503] * ENTRIES
-    assert len(farm.arrivals_s) == before
+    assert len(crash_log.arrivals_s) == before
 
 
 class TestServersThatOnlyBreakConnections:
     def test_do_not_bring_a_request_into_quarantine(self, tmp_path):
-        async def work(site: Site, farm: Farm) -> None:
+        async def work(site: Site, crash_log: CrashLog) -> None:
             for server in site.servers:
                 assert isinstance(server, CrashingServer)
                 server.only_resets = True
@@ -167,9 +173,9 @@
             for server in site.servers:
                 assert isinstance(server, CrashingServer)
                 server.only_resets = False
-            before = len(farm.arrivals_s)
+            before = len(crash_log.arrivals_s)
             assert before >= 9
             await send_again(site, 1)
-            assert len(farm.arrivals_s) > before
+            assert len(crash_log.arrivals_s) > before
 
         with_site(tmp_path, "plain", work)
--- a/tests/node/test_deadlines.py
+++ b/tests/node/test_deadlines.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from tests.node.crashing import CrashingEngine, Farm
+from tests.node.crashing import CrashingEngine, CrashLog
 from tests.node.site import Site, route
 from tests.support import eventually
 
@@ -22,15 +22,15 @@
 
     async def _answer_well(self, request: web.Request) -> web.StreamResponse:
         if self.slow:
-            self.farm.arrivals_s.append(asyncio.get_running_loop().time())
+            self.crash_log.arrivals_s.append(asyncio.get_running_loop().time())
             await asyncio.sleep(SILENT_S)
         return await super()._answer_well(request)
 
 
 class TestStreamWhoseTimeEndsBeforeItsFirstEvent:
     def test_is_not_said_not_to_have_run(self, tmp_path):
-        farm = Farm()
-        engine = SilentEngine(number=0, service="service", farm=farm)
+        crash_log = CrashLog()
+        engine = SilentEngine(number=0, service="service", crash_log=crash_log)
         table = {**route("/ask/", "service"), "type": "streaming", "timeoutMs": TIMEOUT_MS}
 
         async def run() -> None:
@@ -39,7 +39,7 @@
                 await eventually(lambda: served(site), "an answer")
                 engine.slow = True
                 assert await site.post("/ask/a", b"b", fields=FIELDS) == 504
-                assert len(farm.arrivals_s) == 1
+                assert len(crash_log.arrivals_s) == 1
 
         asyncio.run(asyncio.wait_for(run(), 60))
 
--- a/tests/node/test_server_limit.py
+++ b/tests/node/test_server_limit.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from leadhollow.node.entry_role import Dispatching
+from leadhollow.node.entry_role import EntryDispatcher
 from tests.node.limiting import LimitingEngine, LimitingServer
 from tests.node.load import FIELDS, Load, with_site
 from tests.node.site import Site
@@ -104,7 +104,7 @@
 
                 async def unlimited() -> bool:
                     boards = [
-                        entry.kernel.get("dispatching", Dispatching) for entry in site.entries
+                        entry.kernel.get("dispatching", EntryDispatcher) for entry in site.entries
                     ]
                     return all(not board.limits.table.limits() for board in boards)
 
@@ -122,7 +122,7 @@
             async with Load(site=site, entries=range(ENTRIES)) as load:
                 await asyncio.sleep(2 * SPREAD_S)
             for entry in site.entries:
-                assert not entry.kernel.get("dispatching", Dispatching).limits.table
+                assert not entry.kernel.get("dispatching", EntryDispatcher).limits.table
             assert set(load.statuses) == {200}
 
         on_site(tmp_path, "plain", work)
--- a/tests/node/test_long_calm.py
+++ b/tests/node/test_unchanged_servers.py
@@ -24,7 +24,7 @@
 
 from leadhollow.forward.board import ServerBoard
 from leadhollow.node import control_role, entry_role
-from leadhollow.node.entry_role import Dispatching
+from leadhollow.node.entry_role import EntryDispatcher
 from tests.node.site import PlainServer, Site, route
 from tests.support import eventually
 
@@ -54,7 +54,7 @@
 
 def known(site: Site) -> list[str]:
     """Give the backend servers that the entry may use."""
-    board: ServerBoard = site.entry.kernel.get("dispatching", Dispatching).board
+    board: ServerBoard = site.entry.kernel.get("dispatching", EntryDispatcher).board
     return [server.instance.instance for server in board.servers("status")]
 
 
--- a/tests/node/test_wakes.py
+++ b/tests/node/test_wakes.py
@@ -10,7 +10,7 @@
 from leadhollow.decide.engine_queue import EngineQueue
 from leadhollow.membership.reporting import MIN_REPORT_INTERVAL_S, report_interval_s
 from leadhollow.node import entry_role
-from leadhollow.node.entry_role import Dispatching
+from leadhollow.node.entry_role import EntryDispatcher
 from leadhollow.staging.link_gauge import INTERVAL_S, PROBES_PER_S, LinkGauge
 from leadhollow.staging.load_reports import ask_interval_s
 from tests.decide.test_engine_queue import EnginePool, make_request
@@ -70,9 +70,9 @@
         assert len(looks) >= 3
 
 
-def _dispatching(group: EnginePool) -> Dispatching:
+def _dispatching(group: EnginePool) -> EntryDispatcher:
     """Make the part that looks for places, before engines of a group."""
-    made = Dispatching.__new__(Dispatching)
+    made = EntryDispatcher.__new__(EntryDispatcher)
     made.queue = group.queue
     made.board = group.board
     made._waiting = asyncio.Event()
