--- a/tests/node/test_wakes.py
+++ b/tests/node/test_wakes.py
@@ -1,4 +1,4 @@
-"""How often processes of a large fleet wake while there is nothing to do."""
+"""Wake-ups of idle processes in a large fleet."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 SPAN_S = 0.5
 
 
-class TestAStager:
-    def test_asks_its_engine_ten_times_a_second_in_a_small_fleet(self):
+class TestStager:
+    def test_polls_its_engine_ten_times_a_second_in_a_small_fleet(self):
         assert ask_interval_s(MIN_REPORT_INTERVAL_S) == 0.1
 
     @pytest.mark.parametrize("engines", [41, 102, 300])
-    def test_asks_it_the_rarer_the_more_engines_there_are(self, engines):
+    def test_polls_its_engine_less_often_in_a_larger_fleet(self, engines):
         assert ask_interval_s(report_interval_s(engines)) >= report_interval_s(engines) / 5
 
     @pytest.mark.parametrize(("stagers", "least_s"), [(10, INTERVAL_S), (102, 102 / PROBES_PER_S)])
-    async def test_probes_its_link_the_rarer_the_more_there_are(
+    async def test_probes_its_link_less_often_in_a_larger_fleet(
         self, stagers, least_s, monkeypatch
     ):
-        slept: list[float] = []
+        delays_s: list[float] = []
 
-        async def counted(wait_s: float) -> None:
-            slept.append(wait_s)
+        async def record_sleep(wait_s: float) -> None:
+            delays_s.append(wait_s)
             raise asyncio.CancelledError
 
-        monkeypatch.setattr(asyncio, "sleep", counted)
+        monkeypatch.setattr(asyncio, "sleep", record_sleep)
         gauge = LinkGauge(
             feed=SimpleNamespace(source=""),
             peers=SimpleNamespace(),
@@ -45,36 +45,36 @@
         )
         with pytest.raises(asyncio.CancelledError):
             await gauge._work()
-        assert slept == [least_s]
+        assert delays_s == [least_s]
 
 
-class TestAnEntry:
-    async def test_that_has_room_for_all_does_not_wake_to_look_for_places(self, monkeypatch):
-        group, looks = EnginePool(), []
+class TestEntry:
+    async def test_does_not_wake_to_place_requests_while_its_queue_is_empty(self, monkeypatch):
+        group, pump_calls = EnginePool(), []
         monkeypatch.setattr(entry_role, "TIDY_INTERVAL_S", 60.0)
-        monkeypatch.setattr(EngineQueue, "pump", lambda self: looks.append(1))
-        working = asyncio.create_task(_dispatching(group)._work())
+        monkeypatch.setattr(EngineQueue, "pump", lambda self: pump_calls.append(1))
+        task = asyncio.create_task(_dispatcher_of(group)._work())
         await asyncio.sleep(SPAN_S)
-        working.cancel()
-        assert looks == []
+        task.cancel()
+        assert pump_calls == []
 
-    async def test_looks_again_and_again_while_a_request_waits(self, monkeypatch):
-        group, looks = EnginePool(), []
+    async def test_places_requests_periodically_while_one_is_queued(self, monkeypatch):
+        group, pump_calls = EnginePool(), []
         monkeypatch.setattr(entry_role, "TIDY_INTERVAL_S", 60.0)
-        working = asyncio.create_task(_dispatching(group)._work())
+        task = asyncio.create_task(_dispatcher_of(group)._work())
         await asyncio.sleep(0.01)
         group.queue.submit(make_request(decide_s=60.0))
-        monkeypatch.setattr(EngineQueue, "pump", lambda self: looks.append(1))
+        monkeypatch.setattr(EngineQueue, "pump", lambda self: pump_calls.append(1))
         await asyncio.sleep(SPAN_S)
-        working.cancel()
-        assert len(looks) >= 3
-
-
-def _dispatching(group: EnginePool) -> EntryDispatcher:
-    """Make the part that looks for places, before engines of a group."""
-    made = EntryDispatcher.__new__(EntryDispatcher)
-    made.queue = group.queue
-    made.board = group.board
-    made._waiting = asyncio.Event()
-    group.queue.on_waiting(made._waiting.set)
-    return made
+        task.cancel()
+        assert len(pump_calls) >= 3
+
+
+def _dispatcher_of(group: EnginePool) -> EntryDispatcher:
+    """Make a dispatcher with the queue and the servers of a group of engines."""
+    dispatcher = EntryDispatcher.__new__(EntryDispatcher)
+    dispatcher.queue = group.queue
+    dispatcher.directory = group.board
+    dispatcher._request_queued = asyncio.Event()
+    group.queue.on_waiting(dispatcher._request_queued.set)
+    return dispatcher
