--- a/src/leadhollow/backend/assembly.py
+++ b/src/leadhollow/backend/assembly.py
@@ -9,7 +9,7 @@
 
 from leadhollow.backend.announcer import Announcer
 from leadhollow.backend.change_signal import ChangeSignal
-from leadhollow.backend.dispatches import DispatchService
+from leadhollow.backend.dispatch_service import DispatchService
 from leadhollow.backend.engine_client import EngineClient
 from leadhollow.backend.gate import Gate, GateState
 from leadhollow.backend.installer import Installer
@@ -19,8 +19,8 @@
 from leadhollow.settings.model import BackendKind, BackendSettings
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.records import CatalogItem
-from leadhollow.weights.exchange import ExchangeServer, HaveBoard
-from leadhollow.weights.fetch import FetchTools, ServerIdentity
+from leadhollow.weights.exchange import ExchangeServer, HaveNotifier
+from leadhollow.weights.fetch import FetchContext, ServerIdentity
 from leadhollow.weights.pacing import Link
 from leadhollow.weights.store import ChunkStore
 from leadhollow.weights.tracker_choice import tracker_addresses
@@ -33,10 +33,10 @@
 WEIGHTS_FOLDER = "weights"
 
 
-class BackendParts:
+class BackendContext:
     """What the services of one backend role share."""
 
-    __slots__ = ("backend", "board", "engine", "gate", "http", "link", "process", "store")
+    __slots__ = ("backend", "have_notifier", "engine", "gate", "http", "link", "process", "store")
 
     def __init__(self, *, process: Process, backend: BackendSettings) -> None:
         self.process = process
@@ -46,7 +46,7 @@
         self.engine = EngineClient(http=self.http, url=backend.url)
         folder = Path(process.settings.data_folder or ".") / WEIGHTS_FOLDER
         self.store = ChunkStore(folder=folder)
-        self.board = HaveBoard()
+        self.have_notifier = HaveNotifier()
         self.link = Link(
             bytes_per_s=backend.link_bytes_per_s,
             weights_share=backend.weights_share,
@@ -65,7 +65,7 @@
         )
 
 
-class DrainWatch:
+class DrainWatcher:
     """Follows the catalog for an operator's drain of this backend server."""
 
     __slots__ = ("_catalog", "_gate", "_http", "_server")
@@ -102,11 +102,13 @@
     if backend is None:
         return
     kernel = process.kernel
-    parts = BackendParts(process=process, backend=backend)
+    parts = BackendContext(process=process, backend=backend)
 
     def make_drain_watch() -> Service:
         catalog = kernel.get("catalog", CatalogFeed).catalog
-        return DrainWatch(catalog=catalog, gate=parts.gate, server=backend.server, http=parts.http)
+        return DrainWatcher(
+            catalog=catalog, gate=parts.gate, server=backend.server, http=parts.http
+        )
 
     def make_dispatches() -> Service:
         return DispatchService(gate=parts.gate, engine=parts.engine, handlers=process.handlers)
@@ -120,14 +122,19 @@
     kernel.register("announcer", lambda: _make_announcer(parts), needs=tuple(needs))
 
 
-def _make_installer(parts: BackendParts) -> Service:
+def _make_installer(parts: BackendContext) -> Service:
     process = parts.process
     catalog = process.kernel.get("catalog", CatalogFeed).catalog
-    ExchangeServer(store=parts.store, board=parts.board, link=parts.link, handlers=process.handlers)
-    tools = FetchTools(
+    ExchangeServer(
+        store=parts.store,
+        have_notifier=parts.have_notifier,
+        link=parts.link,
+        handlers=process.handlers,
+    )
+    tools = FetchContext(
         identity=parts.identity(),
         store=parts.store,
-        board=parts.board,
+        have_notifier=parts.have_notifier,
         link=parts.link,
         peers=process.peers,
         trackers=lambda root: tracker_addresses(root, settings=process.settings, catalog=catalog),
@@ -138,12 +145,12 @@
         gate=parts.gate,
         engine=parts.engine,
         http=parts.http,
-        tools=tools,
+        fetch_context=tools,
         handlers=process.handlers,
     )
 
 
-def _make_announcer(parts: BackendParts) -> Service:
+def _make_announcer(parts: BackendContext) -> Service:
     process = parts.process
     settings = process.settings
     identity = parts.identity()
--- a/src/leadhollow/backend/change_signal.py
+++ b/src/leadhollow/backend/change_signal.py
@@ -16,12 +16,12 @@
         self.load_changes = 0
         self.urgent_changes = 0
 
-    def load_changed(self) -> None:
+    def record_load_change(self) -> None:
         """Note a change that may wait for the next load interval."""
         self.load_changes += 1
         self._any.set()
 
-    def changed(self) -> None:
+    def record_urgent_change(self) -> None:
         """Note a change that is to be announced at once."""
         self.urgent_changes += 1
         self._any.set()
--- a/src/leadhollow/backend/dispatches.py
+++ b/src/leadhollow/backend/dispatch_service.py
@@ -6,10 +6,10 @@
 
 from result import Err, Ok, Result
 
-from leadhollow.backend.engine_client import AnswerHead, EngineClient
-from leadhollow.backend.engine_limit import LIMIT_FIELD
-from leadhollow.backend.engine_rest import REST_FIELD
-from leadhollow.backend.gate import AttemptKey, Gate, key_of
+from leadhollow.backend.engine_backoff import RETRY_AFTER_HEADER
+from leadhollow.backend.engine_client import EngineClient, EngineResponseHead
+from leadhollow.backend.engine_limit import REQUEST_LIMIT_HEADER
+from leadhollow.backend.gate import AttemptKey, Gate, attempt_key
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.kernel import clocks
@@ -60,17 +60,19 @@
         self._headers: dict[str, str] | None = None
         self.ended = False
 
-    async def head(self, head: AnswerHead) -> None:
+    async def on_head(self, head: EngineResponseHead) -> None:
         """Keep status and headers for the first frame, and note what they say of the engine."""
-        self._gate.limit.note_answer(head.values(LIMIT_FIELD), sent_s=self._sent_s)
-        self._gate.rest.note_answer(self._attempt, head.status, head.values(REST_FIELD))
+        self._gate.limit.record_response(head.values(REQUEST_LIMIT_HEADER), sent_s=self._sent_s)
+        self._gate.backoff.record_response(
+            self._attempt, head.status, head.values(RETRY_AFTER_HEADER)
+        )
         self._status = head.status
         self._is_events = head.headers.get("Content-Type", "").startswith(EVENT_STREAM)
         self._headers = {
             name: head.headers[name] for name in PASSED_HEADERS if name in head.headers
         }
 
-    async def data(self, data: bytes) -> None:
+    async def on_data(self, data: bytes) -> None:
         """Send what is whole."""
         if self._is_events:
             await self._events(data)
@@ -136,7 +138,7 @@
         await asyncio.gather(*self._running, return_exceptions=True)
 
     async def _on_dispatch(self, dispatch: Dispatch, sink: StreamSink) -> Result[Output, Failure]:
-        refusal = self._gate.enter(dispatch)
+        refusal = self._gate.admit(dispatch)
         if refusal is not None:
             log.info(
                 "attempt refused",
@@ -156,19 +158,19 @@
             raise
 
     async def _run(self, dispatch: Dispatch, sink: StreamSink) -> Result[Output, Failure]:
-        answer = _WireSink(sink=sink, gate=self._gate, attempt=key_of(dispatch))
+        answer = _WireSink(sink=sink, gate=self._gate, attempt=attempt_key(dispatch))
         try:
             ran = await self._engine.run(dispatch, answer)
             return Err(ran.unwrap_err()) if ran.is_err() else answer.finish()
         finally:
-            self._gate.leave(dispatch)
+            self._gate.release(dispatch)
 
     async def _on_tombstone(
         self, request: Tombstone, connection: Connection
     ) -> Result[TombstoneReply, Failure]:
         if request.incarnation != self._gate.incarnation:
             return Err(Failure(code=Code.INCARNATION_OLD))
-        progress = self._gate.withdraw(request.request_id, request.attempt)
+        progress = self._gate.place_tombstone(request.request_id, request.attempt)
         if progress is None:
             return Ok(TombstoneReply(True, ""))
         return Ok(TombstoneReply(False, progress.value))
--- a/src/leadhollow/backend/engine_rest.py
+++ b/src/leadhollow/backend/engine_backoff.py
@@ -16,21 +16,21 @@
 from leadhollow.kernel import clocks
 from leadhollow.observe.logs import get_logger
 
-REST_FIELD = "Retry-After"
+RETRY_AFTER_HEADER = "Retry-After"
 
 log = get_logger("gate")
 
 
-class EngineRest:
+class EngineBackoff:
     """Rest of one engine."""
 
-    __slots__ = ("_malformed", "_rest")
+    __slots__ = ("_malformed", "_backoff")
 
     def __init__(self) -> None:
-        self._rest: ServerBackoff | None = None
+        self._backoff: ServerBackoff | None = None
         self._malformed = 0
 
-    def note_answer(self, attempt: Hashable, status: int, values: Sequence[str]) -> None:
+    def record_response(self, attempt: Hashable, status: int, values: Sequence[str]) -> None:
         """Take what the answer to an attempt asks for.
 
         Parameters
@@ -39,26 +39,26 @@
             Of the field, none where the answer asks for no rest.
         """
         if status != HTTPStatus.SERVICE_UNAVAILABLE or not values:
-            if self._rest is not None and self._rest.ended_by(attempt):
-                self._rest = None
+            if self._backoff is not None and self._backoff.ended_by(attempt):
+                self._backoff = None
             return
         rest_s = read_decimal_text(values)
         if rest_s is None:
             self._note_malformed()
         elif rest_s:
-            if self._rest is None:
-                self._rest = ServerBackoff(clock=clocks.elapsed_s, source=random.Random())
-            self._rest.extend(rest_s)
+            if self._backoff is None:
+                self._backoff = ServerBackoff(clock=clocks.elapsed_s, source=random.Random())
+            self._backoff.extend(rest_s)
             log.info("engine wants rest", rest_s=rest_s)
 
-    def take(self, attempt: Hashable) -> bool:
+    def claim(self, attempt: Hashable) -> bool:
         """Let an attempt go to the engine; after a rest one goes first, until it is answered."""
-        return self._rest is None or self._rest.claim_probe(attempt)
+        return self._backoff is None or self._backoff.claim_probe(attempt)
 
-    def end(self, attempt: Hashable) -> None:
+    def release(self, attempt: Hashable) -> None:
         """Note that an attempt has ended."""
-        if self._rest is not None:
-            self._rest.release_probe(attempt)
+        if self._backoff is not None:
+            self._backoff.release_probe(attempt)
 
     def _note_malformed(self) -> None:
         if not self._malformed:
--- a/src/leadhollow/backend/engine_client.py
+++ b/src/leadhollow/backend/engine_client.py
@@ -21,7 +21,7 @@
 READ_BYTES = 64 * 1024
 
 
-class EngineModel(msgspec.Struct, frozen=True, kw_only=True):
+class RunningModel(msgspec.Struct, frozen=True, kw_only=True):
     """What an engine says it runs."""
 
     model: str = ""
@@ -39,7 +39,7 @@
     fence: int
 
 
-class AnswerHead:
+class EngineResponseHead:
     """Status and headers of an answer that streams."""
 
     __slots__ = ("headers", "status")
@@ -53,14 +53,14 @@
         return [value for found, value in self.headers.items() if found.lower() == name.lower()]
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Takes an answer as it comes."""
 
-    async def head(self, head: AnswerHead) -> None:
+    async def on_head(self, head: EngineResponseHead) -> None:
         """Take status and headers."""
         ...
 
-    async def data(self, data: bytes) -> None:
+    async def on_data(self, data: bytes) -> None:
         """Take a piece of the body."""
         ...
 
@@ -80,7 +80,7 @@
         self._http = http
         self._url = url.rstrip("/")
 
-    async def running_model(self) -> Result[EngineModel, Failure]:
+    async def running_model(self) -> Result[RunningModel, Failure]:
         """Ask which version the engine runs."""
         fetched = await self._http.fetch(
             "GET", f"{self._url}/admin/model", timeout_s=STATUS_TIMEOUT_S
@@ -89,7 +89,7 @@
             return Err(fetched.unwrap_err())
         return _decode_model(fetched.unwrap().body)
 
-    async def load(self, order: LoadOrder) -> Result[EngineModel, Failure]:
+    async def load(self, order: LoadOrder) -> Result[RunningModel, Failure]:
         """Order a version and wait until the engine runs it.
 
         Errors
@@ -118,7 +118,7 @@
             return Err(Failure(code=Code.LOAD_REFUSED, detail="the engine runs another root"))
         return model
 
-    async def run(self, dispatch: Dispatch, sink: AnswerSink) -> Result[None, Failure]:
+    async def run(self, dispatch: Dispatch, sink: ResponseSink) -> Result[None, Failure]:
         """Run one request and stream its answer.
 
         Errors
@@ -142,10 +142,10 @@
                 timeout=timeout,
                 allow_redirects=False,
             ) as response:
-                head = AnswerHead(status=response.status, headers=response.headers)
-                await sink.head(head)
+                head = EngineResponseHead(status=response.status, headers=response.headers)
+                await sink.on_head(head)
                 async for data in _pieces(response):
-                    await sink.data(data)
+                    await sink.on_data(data)
         except aiohttp.ClientConnectorError as error:
             return Err(Failure(code=Code.BACKEND_REFUSED, detail=str(error)))
         except TimeoutError:
@@ -160,9 +160,9 @@
         yield data
 
 
-def _decode_model(body: bytes) -> Result[EngineModel, Failure]:
+def _decode_model(body: bytes) -> Result[RunningModel, Failure]:
     try:
-        return Ok(msgspec.json.decode(body, type=EngineModel))
+        return Ok(msgspec.json.decode(body, type=RunningModel))
     except msgspec.MsgspecError as error:
         return Err(Failure(code=Code.LOAD_REFUSED, detail=str(error)))
 
--- a/src/leadhollow/backend/engine_limit.py
+++ b/src/leadhollow/backend/engine_limit.py
@@ -16,7 +16,7 @@
 from leadhollow.kernel import clocks
 from leadhollow.observe.logs import get_logger
 
-LIMIT_FIELD = "Request-Limit"  # requests a second that the engine takes
+REQUEST_LIMIT_HEADER = "Request-Limit"  # requests a second that the engine takes
 ENGINE = "engine"  # the only server of the table
 
 log = get_logger("gate")
@@ -25,11 +25,11 @@
 class EngineLimit:
     """Limit of one engine."""
 
-    __slots__ = ("_allowance", "_malformed", "_table")
+    __slots__ = ("_limiter", "_malformed", "_table")
 
     def __init__(self) -> None:
         self._table = LimitTable()
-        self._allowance: SendLimiter | None = None
+        self._limiter: SendLimiter | None = None
         self._malformed = 0
 
     @property
@@ -37,7 +37,7 @@
         """The limit in force, None where there is none."""
         return self._table.limit(ENGINE)
 
-    def note_answer(self, values: Sequence[str], *, sent_s: float) -> None:
+    def record_response(self, values: Sequence[str], *, sent_s: float) -> None:
         """Take what an answer says of the limit.
 
         Parameters
@@ -60,20 +60,20 @@
 
     def take(self) -> bool:
         """Take the right to send one request; False where the limit leaves no room."""
-        return self._allowance is None or self._allowance.try_acquire()
+        return self._limiter is None or self._limiter.try_acquire()
 
     def _apply(self) -> None:
         per_s = self.per_s
         log.info("engine limit changed", limit_per_s=per_s)
         if per_s is None:
-            self._allowance = None
-        elif self._allowance is not None:
-            self._allowance.set_limit(per_s)
+            self._limiter = None
+        elif self._limiter is not None:
+            self._limiter.set_limit(per_s)
         else:
-            self._allowance = SendLimiter(
+            self._limiter = SendLimiter(
                 per_s=per_s, entries=lambda: 1, clock=clocks.elapsed_s, source=random.Random()
             )
-            self._allowance.lease(1.0, until_s=float("inf"))
+            self._limiter.lease(1.0, until_s=float("inf"))
 
     def _note_malformed(self) -> None:
         if not self._malformed:
--- a/src/leadhollow/backend/gate.py
+++ b/src/leadhollow/backend/gate.py
@@ -7,15 +7,15 @@
 from enum import Enum
 
 from leadhollow.backend.change_signal import ChangeSignal
+from leadhollow.backend.engine_backoff import EngineBackoff
 from leadhollow.backend.engine_limit import EngineLimit
-from leadhollow.backend.engine_rest import EngineRest
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.kernel import clocks
 from leadhollow.wire.generated.ttypes import Dispatch
 
-TOMBSTONES_KEPT = 100_000
-FINISHED_KEPT = 100_000
+MAX_TOMBSTONES = 100_000
+MAX_RECORDED_ATTEMPTS = 100_000
 
 
 AttemptKey = tuple[str, int]
@@ -62,7 +62,7 @@
         "in_flight",
         "incarnation",
         "limit",
-        "rest",
+        "backoff",
         "serving_root",
         "signal",
         "slots",
@@ -74,7 +74,7 @@
         self.signal = signal
         self.incarnation = clocks.wall_ns()
         self.limit = EngineLimit()
-        self.rest = EngineRest()
+        self.backoff = EngineBackoff()
         self.state = GateState.OPEN
         self.serving_root = ""
         self.in_flight = 0
@@ -83,7 +83,7 @@
         self._idle = asyncio.Event()
         self._idle.set()
 
-    def enter(self, dispatch: Dispatch) -> Failure | None:
+    def admit(self, dispatch: Dispatch) -> Failure | None:
         """Admit an attempt, or refuse it for good.
 
         Returns
@@ -92,7 +92,7 @@
             A refusal confirms that this attempt was not run and never will be.
         """
         refusal = self._refusal(dispatch)
-        key = key_of(dispatch)
+        key = attempt_key(dispatch)
         if refusal is not None:
             if refusal.code is not Code.DUPLICATE_ATTEMPT:
                 self._bury(key)
@@ -100,23 +100,23 @@
         self._attempts[key] = Progress.RUNNING
         self.in_flight += 1
         self._idle.clear()
-        self.signal.load_changed()
+        self.signal.record_load_change()
         return None
 
-    def leave(self, dispatch: Dispatch) -> None:
+    def release(self, dispatch: Dispatch) -> None:
         """Note that an admitted attempt ended."""
-        key = key_of(dispatch)
-        self.rest.end(key)
+        key = attempt_key(dispatch)
+        self.backoff.release(key)
         self._attempts[key] = Progress.FINISHED
         self._attempts.move_to_end(key)
-        while len(self._attempts) > FINISHED_KEPT:
+        while len(self._attempts) > MAX_RECORDED_ATTEMPTS:
             self._attempts.popitem(last=False)
         self.in_flight -= 1
         if not self.in_flight:
             self._idle.set()
-        self.signal.load_changed()
+        self.signal.record_load_change()
 
-    def withdraw(self, request_id: str, attempt: int) -> Progress | None:
+    def place_tombstone(self, request_id: str, attempt: int) -> Progress | None:
         """Put a tombstone on an attempt that has not arrived.
 
         Returns
@@ -134,24 +134,24 @@
         """Refuse new work."""
         if self.state is not GateState.DRAINING:
             self.state = state
-            self.signal.changed()
+            self.signal.record_urgent_change()
 
     def open(self) -> None:
         """Take new work again."""
         self.state = GateState.OPEN
-        self.signal.changed()
+        self.signal.record_urgent_change()
 
-    def serve(self, root: str) -> None:
+    def set_serving_root(self, root: str) -> None:
         """Admit model calls for this root only; empty for none."""
         self.serving_root = root
-        self.signal.changed()
+        self.signal.record_urgent_change()
 
     async def wait_idle(self) -> None:
         """Wait until no attempt runs."""
         await self._idle.wait()
 
     def _refusal(self, dispatch: Dispatch) -> Failure | None:
-        key = key_of(dispatch)
+        key = attempt_key(dispatch)
         if dispatch.incarnation != self.incarnation:
             return Failure(code=Code.INCARNATION_OLD)
         if key in self._tombstones:
@@ -164,20 +164,20 @@
             return Failure(code=Code.BACKEND_REFUSED, detail="another version runs here")
         if self.in_flight >= self.slots:
             return Failure(code=Code.SLOTS_FULL)
-        if not self.rest.take(key):
+        if not self.backoff.claim(key):
             return Failure(code=Code.SLOTS_FULL, detail="the engine wants rest")
         if not self.limit.take():
-            self.rest.end(key)
+            self.backoff.release(key)
             return Failure(code=Code.SLOTS_FULL, detail="the engine's limit leaves no room")
         return None
 
     def _bury(self, key: AttemptKey) -> None:
         self._tombstones[key] = None
-        while len(self._tombstones) > TOMBSTONES_KEPT:
+        while len(self._tombstones) > MAX_TOMBSTONES:
             self._tombstones.popitem(last=False)
 
 
-def key_of(dispatch: Dispatch) -> AttemptKey:
+def attempt_key(dispatch: Dispatch) -> AttemptKey:
     """Give what tells an attempt from all others."""
     return dispatch.request_id, dispatch.attempt
 
--- a/src/leadhollow/backend/installer.py
+++ b/src/leadhollow/backend/installer.py
@@ -6,14 +6,14 @@
 
 from result import Err, Ok, Result
 
-from leadhollow.backend.engine_client import EngineClient, EngineModel, LoadOrder
+from leadhollow.backend.engine_client import EngineClient, LoadOrder, RunningModel
 from leadhollow.backend.gate import Gate, GateState
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.http_client import HttpClient
 from leadhollow.observe.logs import get_logger, log_decision
 from leadhollow.state.catalog import Catalog
-from leadhollow.weights.fetch import Fetch, FetchTools
+from leadhollow.weights.fetch import Fetch, FetchContext
 from leadhollow.weights.origin import OriginReader
 from leadhollow.weights.store import StoredVersion, delete_version
 from leadhollow.weights.tracker_choice import domain_lease_name
@@ -55,7 +55,7 @@
         "_recent_roots",
         "_switching",
         "_tasks",
-        "_tools",
+        "_fetch_context",
         "_wake",
         "engine_lost",
         "running",
@@ -70,7 +70,7 @@
         gate: Gate,
         engine: EngineClient,
         http: HttpClient,
-        tools: FetchTools,
+        fetch_context: FetchContext,
         handlers: HandlerTable,
     ) -> None:
         self._failure_domain = failure_domain
@@ -78,7 +78,7 @@
         self._gate = gate
         self._engine = engine
         self._http = http
-        self._tools = tools
+        self._fetch_context = fetch_context
         self._fence = 0
         self._desired: Order | None = None
         self._fetch_root = ""
@@ -90,7 +90,7 @@
         self._wake = asyncio.Event()
         self._switching = False
         self._tasks: list[asyncio.Task[None]] = []
-        self.running = EngineModel()
+        self.running = RunningModel()
         self.engine_lost = False
         self.synced = asyncio.Event()
         handlers.on_call(Order, self._on_order)
@@ -103,7 +103,7 @@
 
     async def start(self) -> Result[None, Failure]:
         """Learn what the engine runs, then wait for orders."""
-        await asyncio.to_thread(self._tools.store.open_all)
+        await asyncio.to_thread(self._fetch_context.store.open_all)
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self._work()), loop.create_task(self._check_engine())]
         return Ok(None)
@@ -119,7 +119,7 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        self._tools.store.close()
+        self._fetch_context.store.close()
 
     async def _on_order(self, order: Order, connection: Connection) -> Result[Done, Failure]:
         lease = self._catalog.lease(domain_lease_name(self._failure_domain))
@@ -129,7 +129,7 @@
         if order.fence < known:
             log_decision(
                 "order refused",
-                server=self._tools.identity.server,
+                server=self._fetch_context.identity.server,
                 holder=order.holder,
                 fence=order.fence,
                 known_fence=known,
@@ -139,7 +139,7 @@
         if self._desired is None or _differs(self._desired, order):
             log_decision(
                 "order taken",
-                server=self._tools.identity.server,
+                server=self._fetch_context.identity.server,
                 holder=order.holder,
                 fence=order.fence,
                 model=order.model,
@@ -159,7 +159,7 @@
             order = self._desired
             if order is None or order.root == self.running.root:
                 continue
-            stored = self._tools.store.version(order.root)
+            stored = self._fetch_context.store.version(order.root)
             if stored is None or not stored.held.complete:
                 self._begin_fetch(order)
             elif order.activate and not self.engine_lost:
@@ -187,13 +187,13 @@
     async def _ask_engine(self) -> None:
         self._take_answer(await self._engine.running_model())
 
-    def _take_answer(self, asked: Result[EngineModel, Failure]) -> None:
+    def _take_answer(self, asked: Result[RunningModel, Failure]) -> None:
         """Believe what the engine says it runs; a silent one runs nothing and gets no orders."""
         if asked.is_err() != self.engine_lost:
             self.engine_lost = asked.is_err()
-            self._gate.signal.changed()
+            self._gate.signal.record_urgent_change()
             self._wake.set()
-        model = asked.unwrap() if asked.is_ok() else EngineModel()
+        model = asked.unwrap() if asked.is_ok() else RunningModel()
         if model.root != self.running.root:
             log.warning("engine changed by itself", was=self.running.root, now=model.root)
             self._set_running(model)
@@ -210,7 +210,7 @@
         fetch = Fetch(
             root=order.root,
             origin=self._origin_reader,
-            tools=self._tools,
+            context=self._fetch_context,
             hedge=bool(order.hedge),
         )
         self._fetch_task = asyncio.get_running_loop().create_task(fetch.run())
@@ -224,7 +224,7 @@
             log.error("fetch ended by an error", error=repr(error))
         elif task.result().is_err():
             log.error("fetch failed", failure=str(task.result().unwrap_err()))
-        self._gate.signal.changed()  # a version may be complete now
+        self._gate.signal.record_urgent_change()  # a version may be complete now
         self._wake.set()
 
     async def _switch(self, order: Order, stored: StoredVersion) -> None:
@@ -242,7 +242,7 @@
     async def _load(self, order: Order, stored: StoredVersion) -> None:
         if self._desired is not order and _differs(self._desired, order):
             return
-        self._gate.serve("")
+        self._gate.set_serving_root("")
         loaded = await self._engine.load(
             LoadOrder(
                 model=order.model,
@@ -261,16 +261,16 @@
             self._set_running(loaded.unwrap())
             log_decision(
                 "version installed",
-                server=self._tools.identity.server,
+                server=self._fetch_context.identity.server,
                 model=order.model,
                 version=order.version,
                 root=order.root[:12],
                 fence=order.fence,
             )
 
-    def _set_running(self, model: EngineModel) -> None:
+    def _set_running(self, model: RunningModel) -> None:
         self.running = model
-        self._gate.serve(model.root)
+        self._gate.set_serving_root(model.root)
         if model.root:
             self._forget_old_versions(model.root)
 
@@ -279,7 +279,7 @@
             self._recent_roots.remove(root)
         self._recent_roots.append(root)
         for old in self._recent_roots[:-VERSIONS_KEPT]:
-            folder = self._tools.store.forget(old)
+            folder = self._fetch_context.store.remove(old)
             if folder is not None:
                 deleting = asyncio.create_task(asyncio.to_thread(delete_version, folder))
                 self._deleting.add(deleting)
--- a/src/leadhollow/bench/stub_engines.py
+++ b/src/leadhollow/bench/stub_engines.py
@@ -8,7 +8,7 @@
 import msgspec
 from aiohttp import web
 
-from leadhollow.backend.engine_client import EngineModel, LoadOrder
+from leadhollow.backend.engine_client import LoadOrder, RunningModel
 from leadhollow.standin.engine_records import hash_file
 from leadhollow.standin.http_server import StandinServer
 
@@ -28,7 +28,7 @@
     __slots__ = ("loads", "models", "server")
 
     def __init__(self) -> None:
-        self.models: dict[str, EngineModel] = {}
+        self.models: dict[str, RunningModel] = {}
         self.loads: list[StubLoad] = []
         application = web.Application()
         application.router.add_get("/{name}/admin/model", self._get)
@@ -48,14 +48,14 @@
         self.models.clear()
 
     async def _get(self, request: web.Request) -> web.Response:
-        model = self.models.get(request.match_info["name"], EngineModel())
+        model = self.models.get(request.match_info["name"], RunningModel())
         return web.Response(body=msgspec.json.encode(model), content_type="application/json")
 
     async def _load(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=LoadOrder)
         loaded_s = asyncio.get_running_loop().time()
         name = request.match_info["name"]
-        self.models[name] = EngineModel(model=order.model, version=order.version, root=order.root)
+        self.models[name] = RunningModel(model=order.model, version=order.version, root=order.root)
         file_hash = await asyncio.to_thread(hash_file, Path(order.path))
         self.loads.append(
             StubLoad(engine=name, root=order.root, file_hash=file_hash, loaded_s=loaded_s)
--- a/src/leadhollow/control/version_ages.py
+++ b/src/leadhollow/control/version_ages.py
@@ -16,7 +16,7 @@
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.records import CatalogItem
 from leadhollow.state.weights_versions import VERSIONS_KEPT, versions_of
-from leadhollow.weights.named import NamedVersion
+from leadhollow.weights.named_versions import NamedVersion
 
 MAX_CONFIRMATION_AGE_MS = 500  # a connected replica is confirmed every 200 ms
 
--- a/src/leadhollow/decide/version_policy.py
+++ b/src/leadhollow/decide/version_policy.py
@@ -9,7 +9,7 @@
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.records import CatalogItem
 from leadhollow.state.weights_versions import versions_of
-from leadhollow.weights.named import NamedVersion
+from leadhollow.weights.named_versions import NamedVersion
 
 BEGIN_MARGIN_S = 0.25  # a request that has not begun this long before the limit is withdrawn
 SEND_MARGIN_S = 0.7
--- a/src/leadhollow/forward/suspect_exchange.py
+++ b/src/leadhollow/forward/suspect_exchange.py
@@ -20,7 +20,7 @@
 from leadhollow.membership.suspect_news import SuspectChanges, all_records, encode_news, merge_news
 from leadhollow.observe.logs import get_logger
 from leadhollow.state.records import CatalogItem
-from leadhollow.weights.named import NamedVersion
+from leadhollow.weights.named_versions import NamedVersion
 from leadhollow.wire.generated.ttypes import SuspectNews
 from leadhollow.wire.peers import PeerPool
 
--- a/src/leadhollow/membership/control_feed.py
+++ b/src/leadhollow/membership/control_feed.py
@@ -27,7 +27,7 @@
 from leadhollow.settings.node import NodeRole, NodeSettings
 from leadhollow.state.catalog import Catalog, decode_item
 from leadhollow.state.records import CatalogItem
-from leadhollow.weights.named import NamedVersion
+from leadhollow.weights.named_versions import NamedVersion
 from leadhollow.wire.generated.ttypes import (
     FeedUpdate,
     FeedWatch,
--- a/src/leadhollow/operator_client.py
+++ b/src/leadhollow/operator_client.py
@@ -28,7 +28,7 @@
     Manifest,
     build_manifest,
     encode_manifest,
-    root_of,
+    root_hash,
 )
 
 READ_TIMEOUT_S = 10.0
@@ -150,7 +150,7 @@
         record = VersionRecord(
             model=model,
             version=version,
-            root=root_of(encoded),
+            root=root_hash(encoded),
             size_bytes=manifest.size_bytes,
             origin_url=folder,
         )
--- a/src/leadhollow/platform/origin.py
+++ b/src/leadhollow/platform/origin.py
@@ -7,7 +7,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.weights.named import DIGEST_BYTES, PieceManifest
+from leadhollow.weights.named_versions import DIGEST_BYTES, PieceManifest
 from leadhollow.weights.origin_dialect import DescribedVersion
 
 DIGEST = "sha256"
--- a/src/leadhollow/staging/choice.py
+++ b/src/leadhollow/staging/choice.py
@@ -109,7 +109,7 @@
         self._outside = []
         self._near = self._far = 0
         for source in self._sources:
-            held = source.held.mask()
+            held = source.held.to_int()
             if source.stager.failure_domain == own_domain:
                 self._near |= held
                 self._inside.append((source, held))
--- a/src/leadhollow/staging/engine_stage.py
+++ b/src/leadhollow/staging/engine_stage.py
@@ -35,7 +35,7 @@
             model=staged.model,
             number=staged.number,
             listed=len(listed.unwrap()),
-            held=staged.held.held,
+            held=staged.held.held_count,
         )
 
     async def lay(self, staged: StagedVersion) -> None:
--- a/src/leadhollow/staging/installer.py
+++ b/src/leadhollow/staging/installer.py
@@ -25,7 +25,7 @@
 from leadhollow.staging.window import PieceWindow
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.weights_versions import versions_of
-from leadhollow.weights.named import NamedVersion
+from leadhollow.weights.named_versions import NamedVersion
 
 STEP_S = 0.05
 IDLE_STEP_S = 0.25
@@ -230,7 +230,7 @@
             number=version.number,
             named_s=named_s,
             described=True,
-            missing=staged.held.count - staged.held.held,
+            missing=staged.held.count - staged.held.held_count,
             piece_s=self._piece_s(staged),
             blocked=self._fetches.blocked(staged),
         )
@@ -340,7 +340,7 @@
         for model in self._models():
             for version in self._store.versions(model):
                 if version.complete:
-                    return version.number, version.held.held
+                    return version.number, version.held.held_count
         return 0, 0
 
 
--- a/src/leadhollow/staging/piece_fetch.py
+++ b/src/leadhollow/staging/piece_fetch.py
@@ -189,7 +189,7 @@
                 "fetch progress",
                 model=self.version.model,
                 number=self.version.number,
-                held=self.version.held.held,
+                held=self.version.held.held_count,
                 pieces=self.version.held.count,
                 on_order=len(self._ordered),
                 from_origin=self._on_order_at_origin(),
@@ -364,7 +364,7 @@
         if connected.is_err():
             self._set_lost(source)
             return False
-        await self._download.free()
+        await self._download.wait_until_free()
         self._download.spend(SLICE_BYTES)
         version = self.version
         offset = sum(map(len, self._parts.get(index, ())))
--- a/src/leadhollow/staging/piece_server.py
+++ b/src/leadhollow/staging/piece_server.py
@@ -126,7 +126,7 @@
         loop = asyncio.get_running_loop()
         while True:
             self._wake.clear()
-            await self._pacer.free()
+            await self._pacer.wait_until_free()
             want = self._next(loop.time())
             if want is None:
                 await self._wait()
--- a/src/leadhollow/staging/pieces.py
+++ b/src/leadhollow/staging/pieces.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from leadhollow.weights.bitmap import Bitmap
-from leadhollow.weights.named import NamedVersion, PieceManifest
+from leadhollow.weights.named_versions import NamedVersion, PieceManifest
 
 VERSIONS_KEPT = 2  # the one that runs, for others that are empty, and the one that comes
 
--- a/src/leadhollow/state/commands.py
+++ b/src/leadhollow/state/commands.py
@@ -9,7 +9,7 @@
 from leadhollow.failure import Failure
 from leadhollow.state.records import CatalogItem, Row
 from leadhollow.state.voters import ChangeVoters
-from leadhollow.weights.named import PieceManifest
+from leadhollow.weights.named_versions import PieceManifest
 
 
 class RowEdit(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/src/leadhollow/state/records.py
+++ b/src/leadhollow/state/records.py
@@ -13,7 +13,7 @@
     ServiceRecord,
     TableNumber,
 )
-from leadhollow.weights.named import NamedVersion
+from leadhollow.weights.named_versions import NamedVersion
 
 
 class Policy(Enum):
--- a/src/leadhollow/state/weights_versions.py
+++ b/src/leadhollow/state/weights_versions.py
@@ -5,7 +5,7 @@
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.commands import DescribeVersion, NameVersion
 from leadhollow.state.records import CatalogItem
-from leadhollow.weights.named import NamedVersion, weights_key
+from leadhollow.weights.named_versions import NamedVersion, weights_key
 
 VERSIONS_KEPT = 3  # of each model: the newest, the one before, and one in between that was skipped
 
--- a/src/leadhollow/weights/bitmap.py
+++ b/src/leadhollow/weights/bitmap.py
@@ -14,11 +14,11 @@
         Number of chunks.
     """
 
-    __slots__ = ("_bits", "count", "held")
+    __slots__ = ("_bits", "count", "held_count")
 
     def __init__(self, *, count: int) -> None:
         self.count = count
-        self.held = 0
+        self.held_count = 0
         self._bits = bytearray((count + 7) // 8)
 
     @classmethod
@@ -33,14 +33,14 @@
     @property
     def complete(self) -> bool:
         """Whether no chunk is missing."""
-        return self.held == self.count
+        return self.held_count == self.count
 
     def add(self, index: int) -> bool:
         """Add a chunk; False where it was there or is out of range."""
         if not 0 <= index < self.count or index in self:
             return False
         self._bits[index >> 3] |= 1 << (index & 7)
-        self.held += 1
+        self.held_count += 1
         return True
 
     def add_all(self, indexes: Iterable[int]) -> None:
@@ -61,13 +61,13 @@
         for index in indexes:
             if 0 <= index < self.count and index in self:
                 self._bits[index >> 3] &= ~(1 << (index & 7))
-                self.held -= 1
+                self.held_count -= 1
 
     def to_bytes(self) -> bytes:
         """Give the bits, chunk 0 in the lowest bit of the first byte."""
         return bytes(self._bits)
 
-    def mask(self) -> int:
+    def to_int(self) -> int:
         """Give the chunks that are held as the bits of a number."""
         return int.from_bytes(self._bits, "little")
 
--- a/src/leadhollow/weights/exchange.py
+++ b/src/leadhollow/weights/exchange.py
@@ -19,7 +19,7 @@
 HAVE_INTERVAL_S = 0.02
 
 
-class HaveBoard:
+class HaveNotifier:
     """Wakes those who watch which chunks of a version are held."""
 
     __slots__ = ("_events",)
@@ -33,7 +33,7 @@
         if event is not None:
             event.set()
 
-    async def changed(self, root: str) -> None:
+    async def wait_changed(self, root: str) -> None:
         """Wait for the next change of a version."""
         event = self._events.setdefault(root, asyncio.Event())
         await event.wait()
@@ -42,13 +42,13 @@
 class ExchangeServer:
     """Answers have-watches and chunk requests from the chunk store."""
 
-    __slots__ = ("_board", "_link", "_store", "uploaded_bytes")
+    __slots__ = ("_have_notifier", "_link", "_store", "uploaded_bytes")
 
     def __init__(
-        self, *, store: ChunkStore, board: HaveBoard, link: Link, handlers: HandlerTable
+        self, *, store: ChunkStore, have_notifier: HaveNotifier, link: Link, handlers: HandlerTable
     ) -> None:
         self._store = store
-        self._board = board
+        self._have_notifier = have_notifier
         self._link = link
         self.uploaded_bytes = 0
         handlers.on_stream(HaveWatch, self._on_have_watch)
@@ -57,14 +57,14 @@
     async def _on_have_watch(self, request: HaveWatch, sink: StreamSink) -> Result[None, Failure]:
         root = request.root
         while (stored := self._store.version(root)) is None:
-            await self._board.changed(root)
+            await self._have_notifier.wait_changed(root)
         told = len(stored.arrivals)
         await sink.send(HaveUpdate(stored.held.to_bytes(), []))
         while True:
             if told == len(stored.arrivals):
                 if stored.held.complete:
                     return Ok(None)
-                await self._board.changed(root)
+                await self._have_notifier.wait_changed(root)
                 await asyncio.sleep(HAVE_INTERVAL_S)
             added = stored.arrivals[told:]
             told += len(added)
--- a/src/leadhollow/weights/fetch.py
+++ b/src/leadhollow/weights/fetch.py
@@ -10,7 +10,7 @@
 from leadhollow.failure import Failure
 from leadhollow.observe.logs import get_logger
 from leadhollow.weights.exchange import MANIFEST_INDEX
-from leadhollow.weights.fetch_state import FetchState, FetchTools, ServerIdentity
+from leadhollow.weights.fetch_state import FetchContext, FetchState, ServerIdentity
 from leadhollow.weights.manifest import decode_manifest
 from leadhollow.weights.origin import OriginReader
 from leadhollow.weights.origin_reads import OriginReads
@@ -40,12 +40,14 @@
         Whether chunks that others read slowly may be read from the origin as well.
     """
 
-    __slots__ = ("_hedge", "_origin", "_tools", "root")
+    __slots__ = ("_hedge", "_origin", "_context", "root")
 
-    def __init__(self, *, root: str, origin: OriginReader, tools: FetchTools, hedge: bool) -> None:
+    def __init__(
+        self, *, root: str, origin: OriginReader, context: FetchContext, hedge: bool
+    ) -> None:
         self.root = root
         self._origin = origin
-        self._tools = tools
+        self._context = context
         self._hedge = hedge
 
     async def run(self) -> Result[StoredVersion, Failure]:
@@ -62,24 +64,24 @@
         if opened.is_err():
             return opened
         stored = opened.unwrap()
-        self._tools.board.notify(self.root)
+        self._context.have_notifier.notify(self.root)
         while not stored.held.complete:
             await self._fetch_missing(stored)
             finished = await asyncio.to_thread(stored.finish)
             if finished.is_err() and finished.unwrap_err().code is not Code.ROOT_MISMATCH:
                 return Err(finished.unwrap_err())
-        log.info("version complete", root=self.root[:12], server=self._tools.identity.server)
+        log.info("version complete", root=self.root[:12], server=self._context.identity.server)
         return Ok(stored)
 
     async def _open(self) -> Result[StoredVersion, Failure]:
-        existing = self._tools.store.version(self.root)
+        existing = self._context.store.version(self.root)
         if existing is not None:
             return Ok(existing)
         while True:
             encoded = await self._find_manifest()
             if encoded.is_ok():
                 return await asyncio.to_thread(
-                    self._tools.store.open_version, self.root, encoded.unwrap()
+                    self._context.store.open_version, self.root, encoded.unwrap()
                 )
             failure = encoded.unwrap_err()
             if failure.code is not Code.ORIGIN_FAILED:
@@ -91,10 +93,10 @@
         """Take the manifest from a neighbour; only a first joiner asks the origin at once."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + MANIFEST_WAIT_S
-        identity = self._tools.identity
+        identity = self._context.identity
         join = SwarmJoin(self.root, identity.server, identity.address, identity.failure_domain, 0)
         while loop.time() < deadline_s:
-            reply = await self._tools.ask_tracker(self.root, join)
+            reply = await self._context.call_tracker(self.root, join)
             answer = reply.unwrap() if reply.is_ok() else SwarmNeighbours([])
             if not answer.neighbours:
                 break
@@ -107,14 +109,14 @@
 
     async def _ask_neighbour(self, address: str) -> bytes | None:
         request = ChunkRequest(self.root, MANIFEST_INDEX)
-        reply = await self._tools.peers.call(address, request, timeout_ms=CALL_TIMEOUT_MS)
+        reply = await self._context.peers.call(address, request, timeout_ms=CALL_TIMEOUT_MS)
         if reply.is_err():
             return None
         encoded: bytes = reply.unwrap().data or b""
         return encoded if decode_manifest(encoded, root=self.root).is_ok() else None
 
     async def _fetch_missing(self, stored: StoredVersion) -> None:
-        state = FetchState(root=self.root, stored=stored, tools=self._tools)
+        state = FetchState(root=self.root, stored=stored, context=self._context)
         peer_reads = PeerReads(state=state)
         origin_reads = OriginReads(
             state=state, origin=self._origin, peer_reads=peer_reads, hedge=self._hedge
@@ -127,7 +129,7 @@
         ]
         try:
             if not stored.held.complete:
-                await state.done.wait()
+                await state.completed.wait()
         finally:
             for task in tasks:
                 task.cancel()
--- a/src/leadhollow/weights/fetch_state.py
+++ b/src/leadhollow/weights/fetch_state.py
@@ -10,7 +10,7 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.observe.logs import get_logger
-from leadhollow.weights.exchange import HaveBoard
+from leadhollow.weights.exchange import HaveNotifier
 from leadhollow.weights.pacing import Link
 from leadhollow.weights.store import ChunkStore, StoredVersion
 from leadhollow.wire.messages import Body
@@ -32,7 +32,7 @@
         self.failure_domain = failure_domain
 
 
-class FetchTools:
+class FetchContext:
     """What every fetch of one backend server shares.
 
     Parameters
@@ -41,26 +41,26 @@
         Gives the addresses to ask for leases of a root, the preferred one first.
     """
 
-    __slots__ = ("board", "identity", "link", "peers", "store", "trackers")
+    __slots__ = ("have_notifier", "identity", "link", "peers", "store", "trackers")
 
     def __init__(
         self,
         *,
         identity: ServerIdentity,
         store: ChunkStore,
-        board: HaveBoard,
+        have_notifier: HaveNotifier,
         link: Link,
         peers: PeerPool,
         trackers: Callable[[str], list[str]],
     ) -> None:
         self.identity = identity
         self.store = store
-        self.board = board
+        self.have_notifier = have_notifier
         self.link = link
         self.peers = peers
         self.trackers = trackers
 
-    async def ask_tracker(self, root: str, body: Body) -> Result[Body, Failure]:
+    async def call_tracker(self, root: str, body: Body) -> Result[Body, Failure]:
         """Ask the first tracker of a version that answers.
 
         Errors
@@ -78,27 +78,35 @@
 class FetchState:
     """Chunks of one version on their way to this VM."""
 
-    __slots__ = ("_progress", "done", "in_flight", "progress_s", "root", "stored", "tools")
-
-    def __init__(self, *, root: str, stored: StoredVersion, tools: FetchTools) -> None:
+    __slots__ = (
+        "_progress",
+        "completed",
+        "in_flight",
+        "last_progress_s",
+        "root",
+        "stored",
+        "context",
+    )
+
+    def __init__(self, *, root: str, stored: StoredVersion, context: FetchContext) -> None:
         self.root = root
         self.stored = stored
-        self.tools = tools
+        self.context = context
         self.in_flight: set[int] = set()
-        self.done = asyncio.Event()
-        self.progress_s = asyncio.get_running_loop().time()
+        self.completed = asyncio.Event()
+        self.last_progress_s = asyncio.get_running_loop().time()
         self._progress = asyncio.Event()
 
     @property
     def server(self) -> str:
         """Our own name."""
-        return self.tools.identity.server
+        return self.context.identity.server
 
-    def wanted(self, chunk: int) -> bool:
+    def is_wanted(self, chunk: int) -> bool:
         """Tell whether a chunk is neither held nor on its way."""
         return chunk not in self.stored.held and chunk not in self.in_flight
 
-    async def keep(self, chunk: int, data: bytes, *, source: str) -> Result[None, Failure]:
+    async def store_chunk(self, chunk: int, data: bytes, *, source: str) -> Result[None, Failure]:
         """Check a chunk, write it and tell everyone who waits.
 
         Errors
@@ -113,14 +121,14 @@
             return written
         if self.stored.held.add(chunk):
             self.stored.arrivals.append(chunk)
-        self.progress_s = asyncio.get_running_loop().time()
-        self.tools.board.notify(self.root)
-        self.wake()
+        self.last_progress_s = asyncio.get_running_loop().time()
+        self.context.have_notifier.notify(self.root)
+        self.notify_progress()
         if self.stored.held.complete:
-            self.done.set()
+            self.completed.set()
         return Ok(None)
 
-    def wake(self) -> None:
+    def notify_progress(self) -> None:
         """Tell those who wait that something changed."""
         self._progress.set()
         self._progress = asyncio.Event()
--- a/src/leadhollow/weights/lease_modes.py
+++ b/src/leadhollow/weights/lease_policies.py
@@ -28,42 +28,42 @@
         Tells whether the connection over which it was given is closed: its reader is gone.
     """
 
-    __slots__ = ("expires_s", "lost", "server")
+    __slots__ = ("expires_s", "is_lost", "server")
 
-    def __init__(self, *, server: str, expires_s: float, lost: Callable[[], bool]) -> None:
+    def __init__(self, *, server: str, expires_s: float, is_lost: Callable[[], bool]) -> None:
         self.server = server
         self.expires_s = expires_s
-        self.lost = lost
+        self.is_lost = is_lost
 
 
-class LeaseBook:
+class LeaseTable:
     """Which chunks of a version are free, leased or delivered."""
 
-    __slots__ = ("delivered", "extra", "free", "leases", "revoked")
+    __slots__ = ("delivered", "hedged_count", "free", "leases", "revoked")
 
     def __init__(self, *, chunk_count: int) -> None:
         self.delivered = Bitmap(count=chunk_count)
         self.leases: dict[int, ChunkLease] = {}
         self.free = list(range(chunk_count - 1, -1, -1))
         self.revoked: dict[str, list[int]] = {}
-        self.extra = 0
+        self.hedged_count = 0
 
-    def hedge(self, *, asker: Asker, now_s: float) -> list[int]:
+    def grant_hedged(self, *, requester: LeaseRequester, now_s: float) -> list[int]:
         """Give chunks that others have been reading for long, within the cap of extra reads."""
         slow_s = now_s + LEASE_VALID_S - HEDGE_AFTER_S
         slow = [
             chunk
             for chunk, lease in self.leases.items()
             if lease.expires_s <= slow_s
-            and lease.server != asker.server
-            and chunk not in asker.held
+            and lease.server != requester.server
+            and chunk not in requester.held
         ]
-        cap = int(self.delivered.count * HEDGE_CAP_COPIES) - self.extra
-        given = slow[: max(0, min(asker.room, cap))]
-        self.extra += len(given)
+        cap = int(self.delivered.count * HEDGE_CAP_COPIES) - self.hedged_count
+        given = slow[: max(0, min(requester.capacity, cap))]
+        self.hedged_count += len(given)
         return given
 
-    def learn(self, chunks: list[int]) -> None:
+    def mark_delivered(self, chunks: list[int]) -> None:
         """Note chunks that somebody holds."""
         for chunk in chunks:
             self.delivered.add(chunk)
@@ -72,7 +72,7 @@
     def release_expired(self, now_s: float) -> None:
         """Free chunks whose reader is gone or did not deliver in time."""
         for chunk, lease in list(self.leases.items()):
-            if now_s >= lease.expires_s or lease.lost():
+            if now_s >= lease.expires_s or lease.is_lost():
                 del self.leases[chunk]
                 self.free.append(chunk)
 
@@ -83,25 +83,25 @@
                 self.delivered.discard_all([chunk])
                 self.free.append(chunk)
 
-    def take_free(self, asker: Asker, count: int, now_s: float) -> list[int]:
+    def lease_free(self, requester: LeaseRequester, count: int, now_s: float) -> list[int]:
         """Lease up to ``count`` free chunks."""
         given: list[int] = []
         while self.free and len(given) < count:
             chunk = self.free.pop()
             if chunk in self.delivered or chunk in self.leases:
                 continue
-            self.lease_to(asker, chunk, now_s)
+            self.lease_to(requester, chunk, now_s)
             given.append(chunk)
         return given
 
-    def lease_to(self, asker: Asker, chunk: int, now_s: float) -> None:
+    def lease_to(self, requester: LeaseRequester, chunk: int, now_s: float) -> None:
         """Lease one chunk to a requester."""
         self.leases[chunk] = ChunkLease(
-            server=asker.server, expires_s=now_s + LEASE_VALID_S, lost=asker.lost
+            server=requester.server, expires_s=now_s + LEASE_VALID_S, is_lost=requester.is_lost
         )
 
 
-class Asker:
+class LeaseRequester:
     """Who asks for leases.
 
     Parameters
@@ -116,35 +116,35 @@
         Tells whether its connection is closed.
     """
 
-    __slots__ = ("held", "lost", "participants", "room", "server")
+    __slots__ = ("held", "is_lost", "participants", "capacity", "server")
 
     def __init__(
         self,
         *,
         server: str,
-        room: int,
+        capacity: int,
         held: Bitmap,
         participants: int,
-        lost: Callable[[], bool],
+        is_lost: Callable[[], bool],
     ) -> None:
-        self.lost = lost
+        self.is_lost = is_lost
         self.server = server
-        self.room = room
+        self.capacity = capacity
         self.held = held
         self.participants = participants
 
 
-class LeaseRule(Protocol):
+class LeasePolicy(Protocol):
     """Decides which chunks a requester may read."""
 
     exchange: bool
 
-    def give(self, book: LeaseBook, *, asker: Asker, now_s: float) -> list[int]:
+    def grant(self, book: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
         """Give chunks to a requester."""
         ...
 
 
-class ExactLeases:
+class ExactLeasePolicy:
     """Never more chunks than asked for; nothing free gives nothing.
 
     Towards the end less is given at a time, so that no one has several chunks before it while
@@ -154,24 +154,24 @@
     __slots__ = ()
     exchange = True
 
-    def give(self, book: LeaseBook, *, asker: Asker, now_s: float) -> list[int]:
+    def grant(self, book: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
         """Lease free chunks, no more than there is room for."""
-        part = len(book.free) // (SHARES_EACH * max(asker.participants, 1))
-        unread = sum(1 for lease in book.leases.values() if lease.server == asker.server)
-        allowed = min(asker.room, max(LEAST_UNREAD, part) - unread)
-        return book.take_free(asker, max(0, allowed), now_s)
+        part = len(book.free) // (SHARES_EACH * max(requester.participants, 1))
+        unread = sum(1 for lease in book.leases.values() if lease.server == requester.server)
+        allowed = min(requester.capacity, max(LEAST_UNREAD, part) - unread)
+        return book.lease_free(requester, max(0, allowed), now_s)
 
 
-class WidenedLeases:
+class WidenedLeasePolicy:
     """Everything that is free to the first who asks; later ones take half of the largest lease."""
 
     __slots__ = ()
     exchange = True
 
-    def give(self, book: LeaseBook, *, asker: Asker, now_s: float) -> list[int]:
+    def grant(self, book: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
         """Lease all that is free, or call half of the largest holder's chunks back."""
-        given = book.take_free(asker, book.delivered.count, now_s)
-        if given or any(lease.server == asker.server for lease in book.leases.values()):
+        given = book.lease_free(requester, book.delivered.count, now_s)
+        if given or any(lease.server == requester.server for lease in book.leases.values()):
             return given
         by_server: dict[str, list[int]] = {}
         for chunk, lease in book.leases.items():
@@ -181,12 +181,12 @@
         largest = max(by_server, key=lambda holder: len(by_server[holder]))
         taken = sorted(by_server[largest])[len(by_server[largest]) // 2 + 1 :]
         for chunk in taken:
-            book.lease_to(asker, chunk, now_s)
+            book.lease_to(requester, chunk, now_s)
         book.revoked.setdefault(largest, []).extend(taken)
         return taken
 
 
-class NoLeases:
+class NoLeasePolicy:
     """Any chunk that the requester lacks, whoever else reads it."""
 
     __slots__ = ("_random", "exchange")
@@ -195,23 +195,23 @@
         self.exchange = exchange
         self._random = random.Random(seed)
 
-    def give(self, book: LeaseBook, *, asker: Asker, now_s: float) -> list[int]:
+    def grant(self, book: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
         """Give random chunks that the requester lacks."""
-        missing = list(asker.held.missing())
-        return self._random.sample(missing, min(asker.room, len(missing)))
+        missing = list(requester.held.missing())
+        return self._random.sample(missing, min(requester.capacity, len(missing)))
 
 
-def lease_rule(mode: LeaseMode, *, seed: int) -> LeaseRule:
+def lease_policy(mode: LeaseMode, *, seed: int) -> LeasePolicy:
     """Give the rule of a mode."""
     match mode:
         case LeaseMode.EXACT:
-            return ExactLeases()
+            return ExactLeasePolicy()
         case LeaseMode.WIDENED:
-            return WidenedLeases()
+            return WidenedLeasePolicy()
         case LeaseMode.NONE:
-            return NoLeases(exchange=True, seed=seed)
+            return NoLeasePolicy(exchange=True, seed=seed)
         case LeaseMode.DIRECT:
-            return NoLeases(exchange=False, seed=seed)
+            return NoLeasePolicy(exchange=False, seed=seed)
 
 
 __all__ = ["LEASE_VALID_S", "Asker", "ChunkLease", "LeaseBook", "LeaseRule", "lease_rule"]
--- a/src/leadhollow/weights/manifest.py
+++ b/src/leadhollow/weights/manifest.py
@@ -12,9 +12,9 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 
-FORMAT = 1
+FORMAT_VERSION = 1
 DEFAULT_CHUNK_BYTES = 1024 * 1024
-MAXIMUM_CHUNK_BYTES = 16 * 1024 * 1024
+MAX_CHUNK_BYTES = 16 * 1024 * 1024
 HASH_BYTES = 32
 HASH_HEX_CHARACTERS = 2 * HASH_BYTES
 
@@ -60,7 +60,7 @@
     return msgspec.json.encode(manifest)
 
 
-def root_of(encoded: bytes) -> str:
+def root_hash(encoded: bytes) -> str:
     """Give the root hash of an encoded manifest."""
     return str(blake3(encoded).hexdigest())
 
@@ -75,7 +75,7 @@
     MANIFEST_INVALID
         A field is malformed, or the chunks do not cover the file exactly.
     """
-    if root_of(encoded) != root:
+    if root_hash(encoded) != root:
         return Err(Failure(code=Code.ROOT_MISMATCH, detail="manifest does not match its root"))
     try:
         manifest = msgspec.json.decode(encoded, type=Manifest)
@@ -87,11 +87,11 @@
 
 def check_manifest(manifest: Manifest) -> Failure | None:
     """Check sizes, the number of chunks and the form of their hashes."""
-    if manifest.format != FORMAT:
-        return _invalid("format", f"expected {FORMAT}, found {manifest.format}")
+    if manifest.format != FORMAT_VERSION:
+        return _invalid("format", f"expected {FORMAT_VERSION}, found {manifest.format}")
     if manifest.size_bytes < 1:
         return Failure(code=Code.EMPTY_MODEL, field="size_bytes")
-    if not 1 <= manifest.chunk_bytes <= MAXIMUM_CHUNK_BYTES:
+    if not 1 <= manifest.chunk_bytes <= MAX_CHUNK_BYTES:
         return _invalid("chunk_bytes", f"expected 1 to {MAXIMUM_CHUNK_BYTES}")
     expected = -(-manifest.size_bytes // manifest.chunk_bytes)
     if manifest.chunk_count != expected:
@@ -120,7 +120,7 @@
     except OSError as error:
         return Err(Failure(code=Code.FILE_UNREADABLE, detail=f"{path}: {error.strerror}"))
     manifest = Manifest(
-        format=FORMAT,
+        format=FORMAT_VERSION,
         model=model,
         version=version,
         size_bytes=size_bytes,
--- a/src/leadhollow/weights/offers.py
+++ b/src/leadhollow/weights/neighbour_chunks.py
@@ -11,7 +11,7 @@
 SAMPLE = 12
 
 
-class Rarity:
+class HolderCounts:
     """How many neighbours hold each chunk."""
 
     __slots__ = ("_counts",)
@@ -33,7 +33,7 @@
         return self._counts[chunk]
 
 
-class Offers:
+class NeighbourChunks:
     """Chunks of one neighbour.
 
     Choosing costs the same however many chunks there are: a few are drawn at random, stale ones
@@ -45,22 +45,22 @@
         Tells whether a chunk is neither held nor on its way.
     """
 
-    __slots__ = ("_chunks", "_random", "_rarity", "_wanted", "arrived", "held")
+    __slots__ = ("_chunks", "_random", "_rarity", "_is_wanted", "available", "held")
 
     def __init__(
         self,
         *,
         held: Bitmap,
-        rarity: Rarity,
-        wanted: Callable[[int], bool],
+        rarity: HolderCounts,
+        is_wanted: Callable[[int], bool],
         generator: random.Random,
     ) -> None:
         self._rarity = rarity
-        self._wanted = wanted
+        self._is_wanted = is_wanted
         self._random = generator
         self._chunks: list[int] = []
         self.held = Bitmap(count=held.count)
-        self.arrived = asyncio.Event()
+        self.available = asyncio.Event()
         self.add_all(held.indexes())
 
     def add_all(self, chunks: Iterable[int]) -> None:
@@ -68,18 +68,18 @@
         for chunk in chunks:
             if self.held.add(chunk):
                 self._rarity.add(chunk)
-                if self._wanted(chunk):
+                if self._is_wanted(chunk):
                     self._chunks.append(chunk)
         if self._chunks:
-            self.arrived.set()
+            self.available.set()
 
-    def offer_again(self, chunk: int) -> None:
+    def requeue(self, chunk: int) -> None:
         """Offer a chunk again that was on its way and did not come."""
         if chunk in self.held:
             self._chunks.append(chunk)
-            self.arrived.set()
+            self.available.set()
 
-    def choose(self) -> int | None:
+    def take_rarest(self) -> int | None:
         """Take the rarest of a few wanted chunks; None where there is none."""
         drawn: list[int] = []
         while self._chunks and len(drawn) < SAMPLE:
@@ -87,16 +87,16 @@
             chunk = self._chunks[position]
             self._chunks[position] = self._chunks[-1]
             self._chunks.pop()
-            if self._wanted(chunk):
+            if self._is_wanted(chunk):
                 drawn.append(chunk)
         if not drawn:
-            self.arrived.clear()
+            self.available.clear()
             return None
         chosen = min(drawn, key=self._rarity.of)
         self._chunks.extend(chunk for chunk in drawn if chunk != chosen)
         return chosen
 
-    def withdraw(self) -> None:
+    def clear(self) -> None:
         """Take everything back: the neighbour is gone."""
         self._rarity.remove_all(self.held.indexes())
         self._chunks.clear()
--- a/src/leadhollow/weights/origin_dialect.py
+++ b/src/leadhollow/weights/origin_dialect.py
@@ -7,7 +7,7 @@
 from result import Result
 
 from leadhollow.failure import Failure
-from leadhollow.weights.named import PieceManifest
+from leadhollow.weights.named_versions import PieceManifest
 
 
 class DescribedVersion:
--- a/src/leadhollow/weights/origin_reads.py
+++ b/src/leadhollow/weights/origin_reads.py
@@ -91,14 +91,14 @@
             self._stuck_chunks(),
             self._hedge,
         )
-        reply = await state.tools.ask_tracker(state.root, request)
+        reply = await state.context.call_tracker(state.root, request)
         return reply.unwrap() if reply.is_ok() else None
 
     def _stuck_chunks(self) -> list[int]:
         """Name the chunks that no neighbour can give, once nothing has come for a while."""
-        if asyncio.get_running_loop().time() - self._state.progress_s < STUCK_AFTER_S:
+        if asyncio.get_running_loop().time() - self._state.last_progress_s < STUCK_AFTER_S:
             return []
-        held_near = self._peer_reads.held_near()
+        held_near = self._peer_reads.neighbour_bitmaps()
         return [
             chunk
             for chunk in self._state.stored.held.missing()
@@ -120,14 +120,14 @@
         while True:
             chunk = await self._leased.get()
             pause_s = READ_AGAIN_FIRST_S
-            while state.wanted(chunk):
+            while state.is_wanted(chunk):
                 state.in_flight.add(chunk)
                 try:
                     done = await self._read(chunk)
                 finally:
                     state.in_flight.discard(chunk)
                     if chunk not in state.stored.held:
-                        self._peer_reads.offer_again(chunk)
+                        self._peer_reads.requeue(chunk)
                 if done:
                     self._done.append(chunk)
                     break
@@ -136,12 +136,12 @@
 
     async def _read(self, chunk: int) -> bool:
         offset, size = self._state.stored.manifest.chunk_range(chunk)
-        await self._state.tools.link.download.take(size)
+        await self._state.context.link.download.take(size)
         read = await self._origin.chunk(offset, size)
         if read.is_err():
             log.warning("origin read failed", failure=str(read.unwrap_err()))
             return False
-        return (await self._state.keep(chunk, read.unwrap(), source="origin")).is_ok()
+        return (await self._state.store_chunk(chunk, read.unwrap(), source="origin")).is_ok()
 
 
 __all__ = ["OriginReads"]
--- a/src/leadhollow/weights/pacing.py
+++ b/src/leadhollow/weights/pacing.py
@@ -40,7 +40,7 @@
         self._free_at_s = start_s + size_bytes / self._rate_bytes_per_s()
         self.bytes_taken += size_bytes
 
-    async def free(self) -> None:
+    async def wait_until_free(self) -> None:
         """Wait until the link has carried everything that was taken."""
         loop = asyncio.get_running_loop()
         while (wait_s := self._free_at_s - loop.time()) > 0:  # others take meanwhile
--- a/src/leadhollow/weights/peer_reads.py
+++ b/src/leadhollow/weights/peer_reads.py
@@ -10,7 +10,7 @@
 from leadhollow.observe.logs import get_logger
 from leadhollow.weights.bitmap import Bitmap
 from leadhollow.weights.fetch_state import FetchState
-from leadhollow.weights.offers import Offers, Rarity
+from leadhollow.weights.neighbour_chunks import HolderCounts, NeighbourChunks
 from leadhollow.wire.generated.ttypes import (
     ChunkRequest,
     HaveUpdate,
@@ -33,12 +33,12 @@
 
 
 class _NeighbourState:
-    __slots__ = ("address", "offers", "server", "task")
+    __slots__ = ("address", "chunks", "server", "task")
 
     def __init__(self, *, neighbour: Neighbour) -> None:
         self.server: str = neighbour.server
         self.address: str = neighbour.address
-        self.offers: Offers | None = None
+        self.chunks: NeighbourChunks | None = None
         self.task: asyncio.Task[None] | None = None
 
 
@@ -58,18 +58,18 @@
     def __init__(self, *, state: FetchState) -> None:
         self._state = state
         self._random = random.Random(f"{state.root}{state.server}")
-        self._rarity = Rarity(chunk_count=state.stored.manifest.chunk_count)
+        self._rarity = HolderCounts(chunk_count=state.stored.manifest.chunk_count)
         self._turns = asyncio.Semaphore(REQUESTS_AT_ONCE)
         self._neighbours: dict[str, _NeighbourState] = {}
         self._banned_until_s: dict[str, float] = {}
         self._bans: dict[str, int] = {}
 
-    def held_near(self) -> list[Bitmap]:
+    def neighbour_bitmaps(self) -> list[Bitmap]:
         """Give what each neighbour holds."""
         return [
-            neighbour.offers.held
+            neighbour.chunks.held
             for neighbour in self._neighbours.values()
-            if neighbour.offers is not None
+            if neighbour.chunks is not None
         ]
 
     async def run(self) -> None:
@@ -99,13 +99,13 @@
 
     async def _exchange(self, neighbour: _NeighbourState) -> None:
         """Follow what one neighbour holds and request from it; the one task of that peer."""
-        connected = await self._state.tools.peers.connection(neighbour.address)
+        connected = await self._state.context.peers.connection(neighbour.address)
         if connected.is_err():
             return
-        offers = neighbour.offers = Offers(
+        offers = neighbour.chunks = NeighbourChunks(
             held=Bitmap(count=self._state.stored.manifest.chunk_count),
             rarity=self._rarity,
-            wanted=self._state.wanted,
+            is_wanted=self._state.is_wanted,
             generator=self._random,
         )
         body = HaveWatch(self._state.root, self._state.server)
@@ -120,12 +120,12 @@
                 await asyncio.gather(*workers)  # the neighbour is complete, requests go on
         finally:
             stream.cancel()
-            offers.withdraw()
-            neighbour.offers = None
+            offers.clear()
+            neighbour.chunks = None
             for worker in workers:
                 worker.cancel()
 
-    async def _follow(self, offers: Offers, stream: CallStream) -> bool:
+    async def _follow(self, offers: NeighbourChunks, stream: CallStream) -> bool:
         """Take have-updates; True once the neighbour holds everything."""
         while True:
             received = await stream.next()
@@ -139,12 +139,12 @@
                 offers.add_all(held.indexes())
             offers.add_all(update.added or ())
 
-    async def _request_chunks(self, neighbour: _NeighbourState, offers: Offers) -> None:
+    async def _request_chunks(self, neighbour: _NeighbourState, offers: NeighbourChunks) -> None:
         state = self._state
         while not state.stored.held.complete:
-            await offers.arrived.wait()
+            await offers.available.wait()
             async with self._turns:
-                chunk = offers.choose()
+                chunk = offers.take_rarest()
                 failure = None if chunk is None else await self._request(neighbour, chunk)
             if failure is not None:
                 self._ban(neighbour, failure)
@@ -158,24 +158,24 @@
         finally:
             state.in_flight.discard(chunk)
             if chunk not in state.stored.held:
-                self.offer_again(chunk)
+                self.requeue(chunk)
 
-    def offer_again(self, chunk: int) -> None:
+    def requeue(self, chunk: int) -> None:
         """Offer a chunk again that did not come, by everyone who holds it."""
         for neighbour in self._neighbours.values():
-            if neighbour.offers is not None:
-                neighbour.offers.offer_again(chunk)
+            if neighbour.chunks is not None:
+                neighbour.chunks.requeue(chunk)
 
     async def _read(self, neighbour: _NeighbourState, chunk: int) -> Failure | None:
         state = self._state
         _, size = state.stored.manifest.chunk_range(chunk)
-        await state.tools.link.download.take(size)
-        reply = await state.tools.peers.call(
+        await state.context.link.download.take(size)
+        reply = await state.context.peers.call(
             neighbour.address, ChunkRequest(state.root, chunk), timeout_ms=CHUNK_TIMEOUT_MS
         )
         if reply.is_err():
             return reply.unwrap_err()
-        kept = await state.keep(chunk, reply.unwrap().data or b"", source=neighbour.server)
+        kept = await state.store_chunk(chunk, reply.unwrap().data or b"", source=neighbour.server)
         if kept.is_err() and kept.unwrap_err().code is Code.CHUNK_MISMATCH:
             return kept.unwrap_err()
         return None
@@ -195,10 +195,10 @@
 
 async def join_swarm(state: FetchState) -> list[Neighbour]:
     """Tell the tracker that we take part; gives our neighbours."""
-    identity = state.tools.identity
-    held = state.stored.held.held
+    identity = state.context.identity
+    held = state.stored.held.held_count
     body = SwarmJoin(state.root, identity.server, identity.address, identity.failure_domain, held)
-    reply = await state.tools.ask_tracker(state.root, body)
+    reply = await state.context.call_tracker(state.root, body)
     if reply.is_err():
         return []
     answer: SwarmNeighbours = reply.unwrap()
--- a/src/leadhollow/weights/store.py
+++ b/src/leadhollow/weights/store.py
@@ -14,7 +14,7 @@
 from leadhollow.observe.logs import get_logger
 from leadhollow.state.files import read_file, replace_file
 from leadhollow.weights.bitmap import Bitmap
-from leadhollow.weights.manifest import Manifest, decode_manifest, root_of
+from leadhollow.weights.manifest import Manifest, decode_manifest, root_hash
 
 DATA_FILE = "weights.bin"
 MANIFEST_FILE = "manifest"
@@ -216,9 +216,9 @@
         if not valid_root(root):
             return None
         encoded = read_file(self._folder / root / MANIFEST_FILE).unwrap_or(None)
-        return encoded if encoded is not None and root_of(encoded) == root else None
+        return encoded if encoded is not None and root_hash(encoded) == root else None
 
-    def forget(self, root: str) -> Path | None:
+    def remove(self, root: str) -> Path | None:
         """Forget a version, which may then be fetched anew.
 
         Returns
--- a/src/leadhollow/weights/tracker.py
+++ b/src/leadhollow/weights/tracker.py
@@ -11,7 +11,12 @@
 from leadhollow.observe.logs import log_decision
 from leadhollow.settings.model import WeightsSettings
 from leadhollow.weights.bitmap import Bitmap
-from leadhollow.weights.lease_modes import LEASE_VALID_S, Asker, LeaseBook, lease_rule
+from leadhollow.weights.lease_policies import (
+    LEASE_VALID_S,
+    LeaseRequester,
+    LeaseTable,
+    lease_policy,
+)
 from leadhollow.wire.connection import Connection
 from leadhollow.wire.generated.ttypes import (
     Neighbour,
@@ -24,26 +29,26 @@
 
 PARTICIPANT_VALID_S = 8.0
 RETRY_MS = 500
-SWARMS_KEPT = 64
+MAX_SWARMS = 64
 
 
 class _Participant:
-    __slots__ = ("address", "failure_domain", "heard_s")
+    __slots__ = ("address", "failure_domain", "last_seen_s")
 
-    def __init__(self, *, address: str, failure_domain: str, heard_s: float) -> None:
+    def __init__(self, *, address: str, failure_domain: str, last_seen_s: float) -> None:
         self.address = address
         self.failure_domain = failure_domain
-        self.heard_s = heard_s
+        self.last_seen_s = last_seen_s
 
 
 class _Swarm:
     """Soft state of one version: who takes part, and who reads which chunk."""
 
-    __slots__ = ("book", "participants")
+    __slots__ = ("lease_table", "participants")
 
     def __init__(self, *, chunk_count: int) -> None:
         self.participants: dict[str, _Participant] = {}
-        self.book = LeaseBook(chunk_count=chunk_count)
+        self.lease_table = LeaseTable(chunk_count=chunk_count)
 
 
 class Tracker:
@@ -52,13 +57,13 @@
     All state is soft; a tracker that takes over learns what is held from the requests themselves.
     """
 
-    __slots__ = ("_random", "_rule", "_settings", "_swarms")
+    __slots__ = ("_random", "_lease_policy", "_settings", "_swarms")
 
     def __init__(self, *, handlers: HandlerTable, settings: WeightsSettings, seed: int) -> None:
         self._swarms: dict[str, _Swarm] = {}
         self._settings = settings
         self._random = random.Random(seed)
-        self._rule = lease_rule(settings.lease_mode, seed=seed)
+        self._lease_policy = lease_policy(settings.lease_mode, seed=seed)
         handlers.on_call(SwarmJoin, self._on_join)
         handlers.on_call(OriginLeaseRequest, self._on_lease)
 
@@ -79,9 +84,9 @@
         swarm = self._swarm(request.root, 0)
         now_s = _now_s()
         swarm.participants[request.server] = _Participant(
-            address=request.address, failure_domain=request.failure_domain, heard_s=now_s
+            address=request.address, failure_domain=request.failure_domain, last_seen_s=now_s
         )
-        if not self._rule.exchange:
+        if not self._lease_policy.exchange:
             return Ok(SwarmNeighbours([]))
         return Ok(SwarmNeighbours(self._neighbours(swarm, request, now_s)))
 
@@ -89,7 +94,7 @@
         inside: list[Neighbour] = []
         across: list[Neighbour] = []
         for server, participant in list(swarm.participants.items()):
-            if now_s - participant.heard_s > PARTICIPANT_VALID_S:
+            if now_s - participant.last_seen_s > PARTICIPANT_VALID_S:
                 del swarm.participants[server]
             elif server != request.server:
                 near = participant.failure_domain == request.failure_domain
@@ -106,22 +111,22 @@
         self, request: OriginLeaseRequest, connection: Connection
     ) -> Result[OriginLease, Failure]:
         swarm = self._swarm(request.root, request.chunk_count)
-        book = swarm.book
+        book = swarm.lease_table
         now_s = _now_s()
         held = Bitmap.from_bytes(request.held or b"", count=request.chunk_count)
-        book.learn([*held.indexes(), *(request.done or ())])
+        book.mark_delivered([*held.indexes(), *(request.done or ())])
         book.release_expired(now_s)
         book.release_stuck(list(request.stuck or ()))
-        asker = Asker(
+        requester = LeaseRequester(
             server=request.server,
-            room=request.window,
+            capacity=request.window,
             held=held,
             participants=len(swarm.participants),
-            lost=connection.closed.is_set,
+            is_lost=connection.closed.is_set,
         )
-        given = self._rule.give(book, asker=asker, now_s=now_s)
+        given = self._lease_policy.grant(book, requester=requester, now_s=now_s)
         if not given and request.hedge:
-            given = book.hedge(asker=asker, now_s=now_s)
+            given = book.grant_hedged(requester=requester, now_s=now_s)
         if given:
             log_decision(
                 "origin lease",
@@ -146,10 +151,10 @@
         if swarm is None:
             swarm = _Swarm(chunk_count=chunk_count)
             self._swarms[root] = swarm
-            while len(self._swarms) > SWARMS_KEPT:
+            while len(self._swarms) > MAX_SWARMS:
                 del self._swarms[next(iter(self._swarms))]
-        if swarm.book.delivered.count == 0 and chunk_count:
-            swarm.book = LeaseBook(chunk_count=chunk_count)
+        if swarm.lease_table.delivered.count == 0 and chunk_count:
+            swarm.lease_table = LeaseTable(chunk_count=chunk_count)
         return swarm
 
 
--- a/tests/backend/test_gate.py
+++ b/tests/backend/test_gate.py
@@ -16,7 +16,7 @@
 @pytest.fixture
 def gate() -> Gate:
     made = Gate(slots=2, signal=ChangeSignal())
-    made.serve("root")
+    made.set_serving_root("root")
     return made
 
 
@@ -33,7 +33,7 @@
 
 class TestEnter:
     def test_admits_and_counts(self, gate):
-        assert gate.enter(dispatch(gate)) is None
+        assert gate.admit(dispatch(gate)) is None
         assert gate.in_flight == 1
 
     @pytest.mark.parametrize(
@@ -44,59 +44,59 @@
         ],
     )
     def test_refuses(self, gate, changed, code):
-        assert gate.enter(dispatch(gate, **changed)).code is code
+        assert gate.admit(dispatch(gate, **changed)).code is code
         assert gate.in_flight == 0
 
     def test_refuses_when_full(self, gate):
-        gate.enter(dispatch(gate, "a"))
-        gate.enter(dispatch(gate, "b"))
-        assert gate.enter(dispatch(gate, "c")).code is Code.SLOTS_FULL
+        gate.admit(dispatch(gate, "a"))
+        gate.admit(dispatch(gate, "b"))
+        assert gate.admit(dispatch(gate, "c")).code is Code.SLOTS_FULL
 
     def test_an_attempt_runs_once(self, gate):
-        gate.enter(dispatch(gate))
-        assert gate.enter(dispatch(gate)).code is Code.DUPLICATE_ATTEMPT
-        gate.leave(dispatch(gate))
-        assert gate.enter(dispatch(gate)).code is Code.DUPLICATE_ATTEMPT
+        gate.admit(dispatch(gate))
+        assert gate.admit(dispatch(gate)).code is Code.DUPLICATE_ATTEMPT
+        gate.release(dispatch(gate))
+        assert gate.admit(dispatch(gate)).code is Code.DUPLICATE_ATTEMPT
 
     @pytest.mark.parametrize("state", [GateState.DRAINING, GateState.SWITCHING])
     def test_a_closed_gate_refuses(self, gate, state):
         gate.close(state)
-        assert gate.enter(dispatch(gate)).code is Code.DRAINING
+        assert gate.admit(dispatch(gate)).code is Code.DRAINING
 
     def test_a_refused_attempt_never_runs_later(self, gate):
         gate.close(GateState.DRAINING)
-        gate.enter(dispatch(gate))
+        gate.admit(dispatch(gate))
         gate.open()
-        assert gate.enter(dispatch(gate)).code is Code.TOMBSTONED
+        assert gate.admit(dispatch(gate)).code is Code.TOMBSTONED
 
     def test_a_service_call_names_no_root(self, gate):
-        assert gate.enter(dispatch(gate, root="", model_call=False)) is None
+        assert gate.admit(dispatch(gate, root="", model_call=False)) is None
 
 
 class TestTombstones:
     def test_a_withdrawn_attempt_that_arrives_late_is_refused(self, gate):
-        assert gate.withdraw("r", 1) is None
-        assert gate.enter(dispatch(gate)).code is Code.TOMBSTONED
+        assert gate.place_tombstone("r", 1) is None
+        assert gate.admit(dispatch(gate)).code is Code.TOMBSTONED
 
     def test_a_running_attempt_cannot_be_withdrawn(self, gate):
-        gate.enter(dispatch(gate))
-        assert gate.withdraw("r", 1) is Progress.RUNNING
-        gate.leave(dispatch(gate))
-        assert gate.withdraw("r", 1) is Progress.FINISHED
+        gate.admit(dispatch(gate))
+        assert gate.place_tombstone("r", 1) is Progress.RUNNING
+        gate.release(dispatch(gate))
+        assert gate.place_tombstone("r", 1) is Progress.FINISHED
 
     def test_only_the_named_attempt_is_withdrawn(self, gate):
-        gate.withdraw("r", 1)
-        assert gate.enter(dispatch(gate, attempt=2)) is None
+        gate.place_tombstone("r", 1)
+        assert gate.admit(dispatch(gate, attempt=2)) is None
 
 
 class TestDrain:
     async def test_waits_for_what_runs(self, gate):
-        gate.enter(dispatch(gate))
+        gate.admit(dispatch(gate))
         gate.close(GateState.DRAINING)
         waiting = asyncio.ensure_future(gate.wait_idle())
         await asyncio.sleep(0)
         assert not waiting.done()
-        gate.leave(dispatch(gate))
+        gate.release(dispatch(gate))
         await asyncio.wait_for(waiting, 5)
 
     def test_a_switch_does_not_end_a_drain(self, gate):
@@ -109,15 +109,15 @@
     def test_of_the_engine_holds_for_all_entries(self, gate, monkeypatch):
         now_s = [100.0]
         monkeypatch.setattr(clocks, "elapsed_s", lambda: now_s[0])
-        gate.limit.note_answer(["2"], sent_s=now_s[0])
+        gate.limit.record_response(["2"], sent_s=now_s[0])
         admitted = 0
         for number in range(400):
             now_s[0] += 0.01
             entered = dispatch(gate, f"r{number}")
-            refusal = gate.enter(entered)
+            refusal = gate.admit(entered)
             if refusal is None:
                 admitted += 1
-                gate.leave(entered)
+                gate.release(entered)
             else:
                 assert refusal.code is Code.SLOTS_FULL
         assert 7 <= admitted <= 2 * 4 + 2
@@ -125,46 +125,46 @@
     def test_that_is_named_no_more_is_over(self, gate, monkeypatch):
         now_s = [100.0]
         monkeypatch.setattr(clocks, "elapsed_s", lambda: now_s[0])
-        gate.limit.note_answer(["0.1"], sent_s=100.0)
-        gate.limit.note_answer([], sent_s=99.0)  # sent before the limit was named
-        assert gate.enter(dispatch(gate, "a")).code is Code.SLOTS_FULL
-        gate.limit.note_answer([], sent_s=101.0)
-        assert gate.enter(dispatch(gate, "b")) is None
+        gate.limit.record_response(["0.1"], sent_s=100.0)
+        gate.limit.record_response([], sent_s=99.0)  # sent before the limit was named
+        assert gate.admit(dispatch(gate, "a")).code is Code.SLOTS_FULL
+        gate.limit.record_response([], sent_s=101.0)
+        assert gate.admit(dispatch(gate, "b")) is None
 
     @pytest.mark.parametrize("values", [[""], ["-1"], ["nan"], ["1,3"], ["1", "2"]])
     def test_that_is_no_number_changes_nothing(self, gate, monkeypatch, values):
         monkeypatch.setattr(clocks, "elapsed_s", lambda: 100.0)
-        gate.limit.note_answer(values, sent_s=99.0)
+        gate.limit.record_response(values, sent_s=99.0)
         assert gate.limit.per_s is None
-        gate.limit.note_answer(["2"], sent_s=99.0)
-        gate.limit.note_answer(values, sent_s=101.0)
+        gate.limit.record_response(["2"], sent_s=99.0)
+        gate.limit.record_response(values, sent_s=101.0)
         assert gate.limit.per_s == 2.0
 
 
 class TestRest:
     # Guards against: each entry goes on to send to an engine that wants rest, behind its gate.
     async def test_holds_for_all_entries_and_ends_with_one_attempt(self, gate):
-        gate.rest.note_answer(("r", 1), 503, ["0.1"])
-        assert gate.enter(dispatch(gate, "a")).code is Code.SLOTS_FULL
+        gate.backoff.record_response(("r", 1), 503, ["0.1"])
+        assert gate.admit(dispatch(gate, "a")).code is Code.SLOTS_FULL
         await asyncio.sleep(0.25)
-        assert gate.enter(dispatch(gate, "b")) is None
-        assert gate.enter(dispatch(gate, "c")).code is Code.SLOTS_FULL
-        gate.rest.note_answer(("earlier", 1), 200, [])
-        assert gate.enter(dispatch(gate, "c2")).code is Code.SLOTS_FULL
-        gate.rest.note_answer(("b", 1), 200, [])
-        assert gate.enter(dispatch(gate, "d")) is None
+        assert gate.admit(dispatch(gate, "b")) is None
+        assert gate.admit(dispatch(gate, "c")).code is Code.SLOTS_FULL
+        gate.backoff.record_response(("earlier", 1), 200, [])
+        assert gate.admit(dispatch(gate, "c2")).code is Code.SLOTS_FULL
+        gate.backoff.record_response(("b", 1), 200, [])
+        assert gate.admit(dispatch(gate, "d")) is None
 
     async def test_goes_on_where_the_attempt_that_finds_out_breaks(self, gate):
-        gate.rest.note_answer(("r", 1), 503, ["0.05"])
+        gate.backoff.record_response(("r", 1), 503, ["0.05"])
         await asyncio.sleep(0.15)
-        assert gate.enter(dispatch(gate, "a")) is None
-        gate.leave(dispatch(gate, "a"))
-        assert gate.enter(dispatch(gate, "b")) is None
+        assert gate.admit(dispatch(gate, "a")) is None
+        gate.release(dispatch(gate, "a"))
+        assert gate.admit(dispatch(gate, "b")) is None
 
     @pytest.mark.parametrize(
         ("status", "values"),
         [(503, []), (503, ["0"]), (503, ["soon"]), (503, ["1", "2"]), (200, ["9"])],
     )
     async def test_is_asked_for_by_503_and_a_number_of_seconds_only(self, gate, status, values):
-        gate.rest.note_answer(("r", 1), status, values)
-        assert gate.enter(dispatch(gate)) is None
+        gate.backoff.record_response(("r", 1), status, values)
+        assert gate.admit(dispatch(gate)) is None
--- a/tests/backend/test_installer.py
+++ b/tests/backend/test_installer.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 from leadhollow.backend import installer
-from leadhollow.backend.engine_client import EngineModel
+from leadhollow.backend.engine_client import RunningModel
 from leadhollow.wire.handlers import HandlerTable
 from tests.support import BlockingWork, eventually
 
@@ -25,14 +25,16 @@
         made = installer.Installer(
             failure_domain="d",
             catalog=None,
-            gate=SimpleNamespace(serve=lambda root: None),
+            gate=SimpleNamespace(set_serving_root=lambda root: None),
             engine=None,
             http=None,
-            tools=SimpleNamespace(store=SimpleNamespace(forget=lambda root: tmp_path / root)),
+            fetch_context=SimpleNamespace(
+                store=SimpleNamespace(remove=lambda root: tmp_path / root)
+            ),
             handlers=HandlerTable(),
         )
         for root in ("a", "b", "c"):
-            made._set_running(EngineModel(root=root))
+            made._set_running(RunningModel(root=root))
         await eventually(lambda: deleted, "a deleted version")
         await asyncio.sleep(0)
         assert deleted == [tmp_path / "a"]
--- a/tests/kernel/test_clocks.py
+++ b/tests/kernel/test_clocks.py
@@ -30,7 +30,7 @@
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.leases import LeaseKeeper
 from leadhollow.state.records import CatalogItem
-from leadhollow.weights.named import NamedVersion
+from leadhollow.weights.named_versions import NamedVersion
 from tests.support import eventually
 
 SUSPENDED_S = 30.0
--- a/tests/membership/test_naming_times.py
+++ b/tests/membership/test_naming_times.py
@@ -12,7 +12,7 @@
 from leadhollow.settings.node import Bounds
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.records import CatalogItem
-from leadhollow.weights.named import NamedVersion, weights_key
+from leadhollow.weights.named_versions import NamedVersion, weights_key
 from leadhollow.wire.generated.ttypes import VersionAge
 
 VERSION_MS = 8_000
--- a/tests/routing/test_tables.py
+++ b/tests/routing/test_tables.py
@@ -23,7 +23,7 @@
 from leadhollow.state.machine import StateMachine
 from leadhollow.state.route_tables import held_number, replacement
 from leadhollow.state.weights_versions import versions_of
-from leadhollow.weights.named import PieceManifest
+from leadhollow.weights.named_versions import PieceManifest
 
 
 def digest(key: str) -> str:
--- a/tests/staging/swarm.py
+++ b/tests/staging/swarm.py
@@ -23,7 +23,7 @@
 from leadhollow.staging.pieces import PieceStore, StagedVersion
 from leadhollow.staging.sharing import Stager
 from leadhollow.staging.window import PieceWindow
-from leadhollow.weights.named import NamedVersion, PieceManifest
+from leadhollow.weights.named_versions import NamedVersion, PieceManifest
 from leadhollow.wire.handlers import HandlerTable
 from tests.config_path.virtual_loop import VirtualLoop
 
--- a/tests/staging/test_exchange.py
+++ b/tests/staging/test_exchange.py
@@ -14,7 +14,7 @@
 from leadhollow.staging.pieces import PieceStore, StagedVersion
 from leadhollow.staging.sharing import Stager
 from leadhollow.staging.window import PieceWindow
-from leadhollow.weights.named import NamedVersion, PieceManifest
+from leadhollow.weights.named_versions import NamedVersion, PieceManifest
 from leadhollow.wire.generated.ttypes import SliceRequest
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
@@ -201,7 +201,7 @@
             fetch = asyncio.create_task(slow.fetch(one, link_share=0.1).run())
             await eventually(lambda: slow.origin.asked)
             one.hold(*range(8))
-            await eventually(lambda: slow.staged().held.held >= 7)
+            await eventually(lambda: slow.staged().held.held_count >= 7)
             fetch.cancel()
             await asyncio.gather(fetch, return_exceptions=True)
 
@@ -212,7 +212,7 @@
             bad.hold(*range(8))
             bad.staged()._pieces[3] = bytes(PIECE_BYTES)
             fetch = asyncio.create_task(empty.fetch(bad, good).run())
-            await eventually(lambda: empty.staged().held.held == 7)
+            await eventually(lambda: empty.staged().held.held_count == 7)
             good.hold(*range(8))
             await fetch
             assert empty.staged().piece(3) == PIECES[3]
--- a/tests/staging/test_installer.py
+++ b/tests/staging/test_installer.py
@@ -16,7 +16,7 @@
 from leadhollow.staging.window import PieceWindow
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.records import CatalogItem
-from leadhollow.weights.named import NamedVersion, weights_key
+from leadhollow.weights.named_versions import NamedVersion, weights_key
 from tests.staging.test_parts import PIECES, manifest
 from tests.support import eventually
 
--- a/tests/staging/test_parts.py
+++ b/tests/staging/test_parts.py
@@ -14,7 +14,7 @@
 from leadhollow.staging.pieces import PieceStore
 from leadhollow.staging.sharing import Sharing, Stager
 from leadhollow.staging.turns import EngineStanding, may_switch, turn_of
-from leadhollow.weights.named import NamedVersion, PieceManifest
+from leadhollow.weights.named_versions import NamedVersion, PieceManifest
 
 PIECES = [bytes([number]) * 64 for number in range(12)]
 
--- a/tests/weights/test_manifest.py
+++ b/tests/weights/test_manifest.py
@@ -17,7 +17,7 @@
     check_manifest,
     decode_manifest,
     encode_manifest,
-    root_of,
+    root_hash,
 )
 from leadhollow.weights.store import DATA_FILE, ChunkStore, delete_version
 
@@ -59,7 +59,7 @@
     def test_other_bytes_do_not_match_the_root(self, manifest):
         encoded = encode_manifest(manifest)
         other = encoded.replace(b'"v1"', b'"v2"')
-        failure = decode_manifest(other, root=root_of(encoded)).unwrap_err()
+        failure = decode_manifest(other, root=root_hash(encoded)).unwrap_err()
         assert failure.code is Code.ROOT_MISMATCH
 
     def test_an_empty_file_is_refused(self, tmp_path):
@@ -75,14 +75,14 @@
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(data=st.binary(max_size=200))
     def test_any_bytes_are_read_or_refused(self, data):
-        decode_manifest(data, root=root_of(data))
+        decode_manifest(data, root=root_hash(data))
 
 
 class TestStore:
     def opened(self, tmp_path, manifest):
         store = ChunkStore(folder=tmp_path / "store")
         encoded = encode_manifest(manifest)
-        return store, store.open_version(root_of(encoded), encoded).unwrap()
+        return store, store.open_version(root_hash(encoded), encoded).unwrap()
 
     def fill(self, stored, manifest):
         for index in range(manifest.chunk_count):
@@ -141,7 +141,7 @@
     def test_a_forgotten_version_may_come_again_while_it_is_deleted(self, tmp_path, manifest):
         store, stored = self.opened(tmp_path, manifest)
         self.fill(stored, manifest)
-        folder = store.forget(stored.root)
+        folder = store.remove(stored.root)
         assert store.version(stored.root) is None
         assert (folder / DATA_FILE).read_bytes() == DATA  # deleting it is left to a thread
         encoded = encode_manifest(manifest)
@@ -152,13 +152,13 @@
 
     def test_what_a_crash_left_to_delete_is_deleted_at_the_next_start(self, tmp_path, manifest):
         store, stored = self.opened(tmp_path, manifest)
-        store.forget(stored.root)
+        store.remove(stored.root)
         again = ChunkStore(folder=tmp_path / "store")
         again.open_all()
         assert list((tmp_path / "store").iterdir()) == []
 
     def test_a_version_that_is_not_known_leaves_nothing_to_delete(self, tmp_path):
-        assert ChunkStore(folder=tmp_path / "store").forget("0" * 64) is None
+        assert ChunkStore(folder=tmp_path / "store").remove("0" * 64) is None
 
     @pytest.mark.parametrize("root", ["../../etc", "", "A" * 64, "0" * 63])
     def test_a_root_that_is_no_hash_is_refused(self, tmp_path, manifest, root):
@@ -176,8 +176,8 @@
         again = Bitmap.from_bytes(bitmap.to_bytes(), count=count)
         expected = {index for index in chosen if index < count}
         assert set(again.indexes()) == expected
-        assert again.held == len(expected)
+        assert again.held_count == len(expected)
         assert set(again.missing()) == set(range(count)) - expected
 
     def test_bits_beyond_the_count_are_ignored(self):
-        assert Bitmap.from_bytes(b"\xff\xff\xff", count=3).held == 3
+        assert Bitmap.from_bytes(b"\xff\xff\xff", count=3).held_count == 3
--- a/tests/weights/test_pacing.py
+++ b/tests/weights/test_pacing.py
@@ -24,9 +24,9 @@
             pacer = Pacer(rate_bytes_per_s=lambda: RATE_BYTES_PER_S, burst_s=0.0)
             began_s = asyncio.get_running_loop().time()
             for _ in range(SLICES):
-                await pacer.free()
+                await pacer.wait_until_free()
                 pacer.spend(SLICE_BYTES)
-            await pacer.free()
+            await pacer.wait_until_free()
             return asyncio.get_running_loop().time() - began_s
 
         with asyncio.Runner(loop_factory=new_loop) as runner:
--- a/tests/weights/test_tracker.py
+++ b/tests/weights/test_tracker.py
@@ -9,7 +9,7 @@
 from leadhollow.settings.model import WeightsSettings
 from leadhollow.weights import tracker as tracker_module
 from leadhollow.weights.bitmap import Bitmap
-from leadhollow.weights.lease_modes import LEASE_VALID_S
+from leadhollow.weights.lease_policies import LEASE_VALID_S
 from leadhollow.weights.tracker import Tracker
 from leadhollow.wire.generated.ttypes import OriginLeaseRequest, SwarmJoin
 from leadhollow.wire.handlers import HandlerTable
@@ -24,7 +24,7 @@
         self.closed = asyncio.Event()
 
 
-class Asker:
+class TrackerClient:
     """Asks a tracker directly."""
 
     def __init__(self, monkeypatch) -> None:
@@ -56,71 +56,71 @@
 
 
 @pytest.fixture
-def asker(monkeypatch) -> Asker:
-    return Asker(monkeypatch)
+def client(monkeypatch) -> TrackerClient:
+    return TrackerClient(monkeypatch)
 
 
 class TestLeases:
-    async def test_no_chunk_is_given_twice(self, asker):
+    async def test_no_chunk_is_given_twice(self, client):
         given = []
         for number in range(40):
-            given += await asker.lease(f"s{number}")
+            given += await client.lease(f"s{number}")
         assert sorted(given) == list(range(CHUNKS))
 
-    async def test_nobody_has_many_unread_while_others_have_none(self, asker):
+    async def test_nobody_has_many_unread_while_others_have_none(self, client):
         for number in range(5):
-            await asker.join(f"s{number}")
-        first = await asker.lease("s0", window=16)
+            await client.join(f"s{number}")
+        first = await client.lease("s0", window=16)
         assert len(first) == 2
-        assert await asker.lease("s0", window=16) == []
-        assert len(await asker.lease("s0", window=16, done=first)) == 2
+        assert await client.lease("s0", window=16) == []
+        assert len(await client.lease("s0", window=16, done=first)) == 2
 
-    async def test_nothing_free_is_an_empty_answer_at_once(self, asker):
-        await asker.lease_all("a")
-        assert await asker.lease("b") == []
+    async def test_nothing_free_is_an_empty_answer_at_once(self, client):
+        await client.lease_all("a")
+        assert await client.lease("b") == []
 
-    async def test_a_dead_holder_s_lease_runs_out(self, asker):
-        first = await asker.lease_all("a")
-        asker.now_s += LEASE_VALID_S + 0.1
-        assert sorted(await asker.lease_all("b")) == sorted(first)
+    async def test_a_dead_holder_s_lease_runs_out(self, client):
+        first = await client.lease_all("a")
+        client.now_s += LEASE_VALID_S + 0.1
+        assert sorted(await client.lease_all("b")) == sorted(first)
 
-    async def test_a_lost_holder_s_lease_ends_at_once(self, asker):
-        first = await asker.lease("a")
-        asker.connections["a"].closed.set()
-        assert set(first) <= set(await asker.lease_all("b"))
+    async def test_a_lost_holder_s_lease_ends_at_once(self, client):
+        first = await client.lease("a")
+        client.connections["a"].closed.set()
+        assert set(first) <= set(await client.lease_all("b"))
 
-    async def test_what_a_requester_holds_is_not_leased(self, asker):
-        given = await asker.lease_all("a", held=range(15))
+    async def test_what_a_requester_holds_is_not_leased(self, client):
+        given = await client.lease_all("a", held=range(15))
         assert sorted(given) == list(range(15, CHUNKS))
 
-    async def test_a_chunk_that_nobody_can_give_is_leased_again(self, asker):
-        given = await asker.lease_all("a")
-        await asker.lease("a", done=given)
-        assert await asker.lease("b") == []
-        assert await asker.lease("b", stuck=[3]) == [3]
+    async def test_a_chunk_that_nobody_can_give_is_leased_again(self, client):
+        given = await client.lease_all("a")
+        await client.lease("a", done=given)
+        assert await client.lease("b") == []
+        assert await client.lease("b", stuck=[3]) == [3]
 
-    async def test_stuck_chunks_in_somebody_s_lease_stay_there(self, asker):
-        await asker.lease_all("a")
-        assert await asker.lease("b", stuck=[3]) == []
+    async def test_stuck_chunks_in_somebody_s_lease_stay_there(self, client):
+        await client.lease_all("a")
+        assert await client.lease("b", stuck=[3]) == []
 
-    async def test_a_new_tracker_learns_from_the_requests(self, asker):
-        given = await asker.lease("a", window=4, held=[0, 1, 2], done=[3])
+    async def test_a_new_tracker_learns_from_the_requests(self, client):
+        given = await client.lease("a", window=4, held=[0, 1, 2], done=[3])
         assert not set(given) & {0, 1, 2, 3}
 
 
 class TestNeighbours:
-    async def test_the_first_joiner_has_none(self, asker):
-        assert await asker.join("a") == []
+    async def test_the_first_joiner_has_none(self, client):
+        assert await client.join("a") == []
 
-    async def test_are_bounded_and_mostly_inside(self, asker):
+    async def test_are_bounded_and_mostly_inside(self, client):
         for number in range(30):
-            await asker.join(f"in-{number}")
-            await asker.join(f"out-{number}", "far")
-        found = await asker.join("me")
+            await client.join(f"in-{number}")
+            await client.join(f"out-{number}", "far")
+        found = await client.join("me")
         inside = [server for server in found if server.startswith("in-")]
         assert (len(found), len(inside)) == (9, 6)
 
-    async def test_the_silent_are_forgotten(self, asker):
-        await asker.join("a")
-        asker.now_s += tracker_module.PARTICIPANT_VALID_S + 0.1
-        assert await asker.join("b") == []
+    async def test_the_silent_are_forgotten(self, client):
+        await client.join("a")
+        client.now_s += tracker_module.PARTICIPANT_VALID_S + 0.1
+        assert await client.join("b") == []
