--- a/src/leadhollow/backend/assembly.py
+++ b/src/leadhollow/backend/assembly.py
@@ -1,4 +1,4 @@
-"""Registers the backend role's services."""
+"""Builds and registers the services of the backend role."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 
 
 class BackendContext:
-    """What the services of one backend role share."""
+    """Dependencies that the services of one backend role share."""
 
-    __slots__ = ("backend", "have_notifier", "engine", "gate", "http", "link", "process", "store")
+    __slots__ = ("backend", "engine", "gate", "have_notifier", "http", "link", "process", "store")
 
     def __init__(self, *, process: Process, backend: BackendSettings) -> None:
         self.process = process
@@ -54,7 +54,7 @@
         )
 
     def identity(self) -> ServerIdentity:
-        """Say who we are to other backend servers."""
+        """Return the identity of this process towards other backend servers."""
         from leadhollow.process import WireService
 
         address = self.process.kernel.get("wire", WireService).server.address
@@ -66,7 +66,7 @@
 
 
 class DrainWatcher:
-    """Follows the catalog for an operator's drain of this backend server."""
+    """Closes and opens the gate as an operator drains this backend server in the catalog."""
 
     __slots__ = ("_catalog", "_gate", "_http", "_server")
 
@@ -78,7 +78,7 @@
         catalog.on_change(self._on_change)
 
     async def start(self) -> Result[None, Failure]:
-        """Take over what the catalog says already."""
+        """Apply the current state of the catalog."""
         self._on_change([])
         return Ok(None)
 
@@ -86,7 +86,7 @@
         """Nothing to finish."""
 
     async def stop(self) -> None:
-        """Close the connections to the engine."""
+        """Close the HTTP connections to the engine."""
         await self._http.close()
 
     def _on_change(self, items: list[CatalogItem]) -> None:
@@ -97,69 +97,72 @@
 
 
 def register_backend(process: Process) -> None:
-    """Register gate, dispatches, installer, exchange and announcements."""
+    """Register the services of the backend role, if the settings have a backend.
+
+    Only an engine gets an installer; a plain service has no model versions.
+    """
     backend = process.settings.backend
     if backend is None:
         return
     kernel = process.kernel
-    parts = BackendContext(process=process, backend=backend)
+    context = BackendContext(process=process, backend=backend)
 
     def make_drain_watch() -> Service:
         catalog = kernel.get("catalog", CatalogFeed).catalog
         return DrainWatcher(
-            catalog=catalog, gate=parts.gate, server=backend.server, http=parts.http
+            catalog=catalog, gate=context.gate, server=backend.server, http=context.http
         )
 
     def make_dispatches() -> Service:
-        return DispatchService(gate=parts.gate, engine=parts.engine, handlers=process.handlers)
+        return DispatchService(gate=context.gate, engine=context.engine, handlers=process.handlers)
 
     kernel.register("drain-watch", make_drain_watch, needs=("catalog",))
     kernel.register("dispatches", make_dispatches, needs=("drain-watch",))
     needs = ["dispatches"]
     if backend.kind is BackendKind.ENGINE:
-        kernel.register("installer", lambda: _make_installer(parts), needs=("dispatches",))
+        kernel.register("installer", lambda: _make_installer(context), needs=("dispatches",))
         needs.append("installer")
-    kernel.register("announcer", lambda: _make_announcer(parts), needs=tuple(needs))
+    kernel.register("announcer", lambda: _make_announcer(context), needs=tuple(needs))
 
 
-def _make_installer(parts: BackendContext) -> Service:
-    process = parts.process
+def _make_installer(context: BackendContext) -> Service:
+    process = context.process
     catalog = process.kernel.get("catalog", CatalogFeed).catalog
     ExchangeServer(
-        store=parts.store,
-        have_notifier=parts.have_notifier,
-        link=parts.link,
+        store=context.store,
+        have_notifier=context.have_notifier,
+        link=context.link,
         handlers=process.handlers,
     )
-    tools = FetchContext(
-        identity=parts.identity(),
-        store=parts.store,
-        have_notifier=parts.have_notifier,
-        link=parts.link,
+    fetch_context = FetchContext(
+        identity=context.identity(),
+        store=context.store,
+        have_notifier=context.have_notifier,
+        link=context.link,
         peers=process.peers,
         trackers=lambda root: tracker_addresses(root, settings=process.settings, catalog=catalog),
     )
     return Installer(
         failure_domain=process.settings.failure_domain,
         catalog=catalog,
-        gate=parts.gate,
-        engine=parts.engine,
-        http=parts.http,
-        fetch_context=tools,
+        gate=context.gate,
+        engine=context.engine,
+        http=context.http,
+        fetch_context=fetch_context,
         handlers=process.handlers,
     )
 
 
-def _make_announcer(parts: BackendContext) -> Service:
-    process = parts.process
+def _make_announcer(context: BackendContext) -> Service:
+    process = context.process
     settings = process.settings
-    identity = parts.identity()
+    identity = context.identity()
     catalog = process.kernel.get("catalog", CatalogFeed).catalog
-    is_engine = parts.backend.kind is BackendKind.ENGINE
+    is_engine = context.backend.kind is BackendKind.ENGINE
     installer = process.kernel.get("installer", Installer) if is_engine else None
 
-    def describe() -> Announcement:
-        gate = parts.gate
+    def build_announcement() -> Announcement:
+        gate = context.gate
         serving = []
         if installer is not None and gate.serving_root and gate.state is not GateState.SWITCHING:
             running = installer.running
@@ -169,14 +172,14 @@
             incarnation=gate.incarnation,
             address=identity.address,
             failure_domain=identity.failure_domain,
-            kind=parts.backend.kind.value,
-            service_name=parts.backend.service,
+            kind=context.backend.kind.value,
+            service_name=context.backend.service,
             slots=gate.slots,
             in_flight=gate.in_flight,
             waiting=0,
             draining=gate.state is GateState.DRAINING,
             serving=serving,
-            complete_roots=parts.store.complete_roots(),
+            complete_roots=context.store.complete_roots(),
             applied_revision=catalog.revision,
             origin_bytes=0 if installer is None else installer.origin_bytes,
             vm=settings.vm,
@@ -188,8 +191,8 @@
         replicas=settings.own_domain_replicas(),
         heartbeat_ms=settings.domain.heartbeat_ms,
         peers=process.peers,
-        gate=parts.gate,
-        describe=describe,
+        gate=context.gate,
+        build_announcement=build_announcement,
         revision=lambda: catalog.revision,
     )
 
--- a/src/leadhollow/backend/change_signal.py
+++ b/src/leadhollow/backend/change_signal.py
@@ -1,4 +1,4 @@
-"""Tells announcers that something changed, and whether it can wait."""
+"""Signals state changes to the announcer, and whether they are urgent."""
 
 from __future__ import annotations
 
@@ -6,43 +6,46 @@
 
 
 class ChangeSignal:
-    """Counts changes of load and changes that must be announced at once."""
+    """Counts load changes and urgent changes, and wakes the tasks that wait for them.
 
-    __slots__ = ("_any", "_urgent", "load_changes", "urgent_changes")
+    A load change may wait for the next load interval; an urgent one is announced at once.
+    """
+
+    __slots__ = ("_any_change", "_urgent_change", "load_changes", "urgent_changes")
 
     def __init__(self) -> None:
-        self._any = asyncio.Event()
-        self._urgent = asyncio.Event()
+        self._any_change = asyncio.Event()
+        self._urgent_change = asyncio.Event()
         self.load_changes = 0
         self.urgent_changes = 0
 
     def record_load_change(self) -> None:
-        """Note a change that may wait for the next load interval."""
+        """Count a load change and wake the tasks in ``wait``."""
         self.load_changes += 1
-        self._any.set()
+        self._any_change.set()
 
     def record_urgent_change(self) -> None:
-        """Note a change that is to be announced at once."""
+        """Count an urgent change and wake all waiting tasks."""
         self.urgent_changes += 1
-        self._any.set()
-        self._any = asyncio.Event()
-        self._urgent.set()
-        self._urgent = asyncio.Event()
+        self._any_change.set()
+        self._any_change = asyncio.Event()
+        self._urgent_change.set()
+        self._urgent_change = asyncio.Event()
 
-    async def wait(self, longest_s: float) -> None:
-        """Wait for any change, at most for a time."""
-        if self._any.is_set():
-            self._any = asyncio.Event()
-        await _wait(self._any, longest_s)
+    async def wait(self, timeout_s: float) -> None:
+        """Wait for any change, at most ``timeout_s``."""
+        if self._any_change.is_set():
+            self._any_change = asyncio.Event()
+        await _wait(self._any_change, timeout_s)
 
-    async def wait_urgent(self, longest_s: float) -> None:
-        """Wait for a change that cannot wait, at most for a time."""
-        await _wait(self._urgent, longest_s)
+    async def wait_urgent(self, timeout_s: float) -> None:
+        """Wait for an urgent change, at most ``timeout_s``."""
+        await _wait(self._urgent_change, timeout_s)
 
 
-async def _wait(event: asyncio.Event, longest_s: float) -> None:
+async def _wait(event: asyncio.Event, timeout_s: float) -> None:
     try:
-        async with asyncio.timeout(longest_s):
+        async with asyncio.timeout(timeout_s):
             await event.wait()
     except TimeoutError:
         return
--- a/src/leadhollow/backend/dispatch_service.py
+++ b/src/leadhollow/backend/dispatch_service.py
@@ -1,4 +1,4 @@
-"""Runs the attempts that entries dispatch, through the gate, and streams their answers."""
+"""Runs the attempts that entries dispatch, if the gate admits them, and streams the responses."""
 
 from __future__ import annotations
 
@@ -19,27 +19,28 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.streams import StreamSink
 
-EVENT_END = b"\n\n"
-LAST_EVENT = b"data: [DONE]"
-ERROR_EVENT = b'data: {"error"'
+EVENT_SEPARATOR = b"\n\n"
+LAST_EVENT_PREFIX = b"data: [DONE]"
+ERROR_EVENT_PREFIX = b'data: {"error"'
 EVENT_STREAM = "text/event-stream"
-PASSED_HEADERS = ("Content-Type", "Content-Language", "ETag", "Location", "Cache-Control")
+FORWARDED_HEADERS = ("Content-Type", "Content-Language", "ETag", "Location", "Cache-Control")
 
 log = get_logger("dispatch")
 
 
-class _WireSink:
-    """Turns an engine's answer into numbered output frames, as few as it can.
+class _FrameSink:
+    """Converts the response of an engine into as few numbered output frames as possible.
 
-    Only whole events leave, at once; an event stream is whole once its last event came. Other
-    bodies are held back by one piece, so that a short answer is one frame.
+    Of an event stream only complete events are sent, without delay; the stream is complete once its
+    last event has arrived. Of other bodies the latest part is held back, and a short response thus
+    fits in one frame.
     """
 
     __slots__ = (
         "_attempt",
         "_gate",
         "_headers",
-        "_held",
+        "_held_back",
         "_is_events",
         "_sent_s",
         "_sequence",
@@ -54,14 +55,14 @@
         self._gate = gate
         self._sent_s = clocks.elapsed_s()
         self._sequence = 0
-        self._held = b""
+        self._held_back = b""
         self._is_events = False
         self._status = 0
         self._headers: dict[str, str] | None = None
         self.ended = False
 
     async def on_head(self, head: EngineResponseHead) -> None:
-        """Keep status and headers for the first frame, and note what they say of the engine."""
+        """Store status and headers for the first frame; record limit and back-off of the engine."""
         self._gate.limit.record_response(head.values(REQUEST_LIMIT_HEADER), sent_s=self._sent_s)
         self._gate.backoff.record_response(
             self._attempt, head.status, head.values(RETRY_AFTER_HEADER)
@@ -69,57 +70,57 @@
         self._status = head.status
         self._is_events = head.headers.get("Content-Type", "").startswith(EVENT_STREAM)
         self._headers = {
-            name: head.headers[name] for name in PASSED_HEADERS if name in head.headers
+            name: head.headers[name] for name in FORWARDED_HEADERS if name in head.headers
         }
 
     async def on_data(self, data: bytes) -> None:
-        """Send what is whole."""
+        """Send what is complete."""
         if self._is_events:
-            await self._events(data)
+            await self._send_events(data)
             return
-        if self._held:
-            await self._sink.send(self._output(self._held))
-        self._held = data
+        if self._held_back:
+            await self._sink.send(self._output(self._held_back))
+        self._held_back = data
 
     def finish(self) -> Result[Output, Failure]:
-        """Give the last frame, or say that the answer is not whole."""
+        """Return the last frame, or a failure if the response is incomplete."""
         if self._is_events and not self.ended:
             detail = "the stream ended before its last event"
             return Err(Failure(code=Code.ENGINE_FAILED, detail=detail))
-        return Ok(self._output(b"" if self._is_events else self._held, last=True))
+        return Ok(self._output(b"" if self._is_events else self._held_back, last=True))
 
-    async def _events(self, data: bytes) -> None:
-        whole, separator, self._held = (self._held + data).rpartition(EVENT_END)
+    async def _send_events(self, data: bytes) -> None:
+        complete, separator, self._held_back = (self._held_back + data).rpartition(EVENT_SEPARATOR)
         if not separator:
             return
-        if ERROR_EVENT in whole:
+        if ERROR_EVENT_PREFIX in complete:
             message = "the engine reported an error within the stream"
             raise ValueError(message)
-        events = whole.split(EVENT_END)
-        if events[-1].startswith(LAST_EVENT):
+        events = complete.split(EVENT_SEPARATOR)
+        if events[-1].startswith(LAST_EVENT_PREFIX):
             self.ended = True
             events.pop()
         if events:
-            text = EVENT_END.join(events) + EVENT_END
+            text = EVENT_SEPARATOR.join(events) + EVENT_SEPARATOR
             await self._sink.send(self._output(text, tokens=len(events)))
 
     def _output(self, data: bytes, *, last: bool = False, tokens: int = 0) -> Output:
         status, headers = self._status, self._headers
-        self._status, self._headers = 0, None  # only the first frame carries them
+        self._status, self._headers = 0, None  # only the first frame carries these
         output = Output(self._sequence, data, status, headers, last, 0, tokens, "")
         self._sequence += 1
         return output
 
 
 class DispatchService:
-    """Answers dispatches and tombstones."""
+    """Handles dispatches and tombstones of entries."""
 
-    __slots__ = ("_engine", "_gate", "_running")
+    __slots__ = ("_engine", "_gate", "_tasks")
 
     def __init__(self, *, gate: Gate, engine: EngineClient, handlers: HandlerTable) -> None:
         self._gate = gate
         self._engine = engine
-        self._running: set[asyncio.Task[Result[Output, Failure]]] = set()
+        self._tasks: set[asyncio.Task[Result[Output, Failure]]] = set()
         handlers.on_stream(Dispatch, self._on_dispatch)
         handlers.on_call(Tombstone, self._on_tombstone)
 
@@ -132,10 +133,10 @@
         await self._gate.wait_idle()
 
     async def stop(self) -> None:
-        """Cut what still runs."""
-        for task in list(self._running):
+        """Cancel the attempts that still run."""
+        for task in list(self._tasks):
             task.cancel()
-        await asyncio.gather(*self._running, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _on_dispatch(self, dispatch: Dispatch, sink: StreamSink) -> Result[Output, Failure]:
         refusal = self._gate.admit(dispatch)
@@ -148,20 +149,20 @@
             )
             return Err(refusal)
         task = asyncio.get_running_loop().create_task(self._run(dispatch, sink))
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
             if dispatch.repeatable:
-                task.cancel()  # nobody waits for it; what may not be repeated runs to its end
+                task.cancel()  # no caller waits; one that may not be repeated is completed
             raise
 
     async def _run(self, dispatch: Dispatch, sink: StreamSink) -> Result[Output, Failure]:
-        answer = _WireSink(sink=sink, gate=self._gate, attempt=attempt_key(dispatch))
+        frame_sink = _FrameSink(sink=sink, gate=self._gate, attempt=attempt_key(dispatch))
         try:
-            ran = await self._engine.run(dispatch, answer)
-            return Err(ran.unwrap_err()) if ran.is_err() else answer.finish()
+            ran = await self._engine.run(dispatch, frame_sink)
+            return Err(ran.unwrap_err()) if ran.is_err() else frame_sink.finish()
         finally:
             self._gate.release(dispatch)
 
--- a/src/leadhollow/backend/engine_backoff.py
+++ b/src/leadhollow/backend/engine_backoff.py
@@ -1,6 +1,6 @@
-"""The rest that the engine beside this process asks for when it turns a request away.
+"""Applies the back-off that the engine beside this process requests when it refuses a request.
 
-All requests to the engine pass its gate, so a rest that is kept here holds for all entries.
+All requests to the engine pass its gate. A back-off enforced here therefore holds for all entries.
 """
 
 from __future__ import annotations
@@ -22,48 +22,51 @@
 
 
 class EngineBackoff:
-    """Rest of one engine."""
+    """Back-off of one engine, and the probe that ends it."""
 
-    __slots__ = ("_malformed", "_backoff")
+    __slots__ = ("_backoff", "_malformed")
 
     def __init__(self) -> None:
         self._backoff: ServerBackoff | None = None
         self._malformed = 0
 
     def record_response(self, attempt: Hashable, status: int, values: Sequence[str]) -> None:
-        """Take what the answer to an attempt asks for.
+        """Start a back-off that a response requests, or end it after the response to the probe.
 
         Parameters
         ----------
         values
-            Of the field, none where the answer asks for no rest.
+            All values of the header; empty if the response has none.
         """
         if status != HTTPStatus.SERVICE_UNAVAILABLE or not values:
             if self._backoff is not None and self._backoff.ended_by(attempt):
                 self._backoff = None
             return
-        rest_s = read_decimal_text(values)
-        if rest_s is None:
-            self._note_malformed()
-        elif rest_s:
+        backoff_s = read_decimal_text(values)
+        if backoff_s is None:
+            self._record_malformed()
+        elif backoff_s:
             if self._backoff is None:
                 self._backoff = ServerBackoff(clock=clocks.elapsed_s, source=random.Random())
-            self._backoff.extend(rest_s)
-            log.info("engine wants rest", rest_s=rest_s)
+            self._backoff.extend(backoff_s)
+            log.info("engine requested a back-off", rest_s=backoff_s)
 
     def claim(self, attempt: Hashable) -> bool:
-        """Let an attempt go to the engine; after a rest one goes first, until it is answered."""
+        """Whether an attempt may go to the engine.
+
+        After a back-off only one attempt, the probe, may go until the engine has responded to it.
+        """
         return self._backoff is None or self._backoff.claim_probe(attempt)
 
     def release(self, attempt: Hashable) -> None:
-        """Note that an attempt has ended."""
+        """Record that an attempt has ended. A probe without a response lets another one go."""
         if self._backoff is not None:
             self._backoff.release_probe(attempt)
 
-    def _note_malformed(self) -> None:
+    def _record_malformed(self) -> None:
         if not self._malformed:
             log.warning("rest not taken", failure=str(Failure(code=Code.REST_MALFORMED)))
         self._malformed += 1
 
 
-__all__ = ["REST_FIELD", "EngineRest"]
+__all__ = ["RETRY_AFTER_HEADER", "EngineBackoff"]
--- a/src/leadhollow/backend/engine_client.py
+++ b/src/leadhollow/backend/engine_client.py
@@ -1,4 +1,4 @@
-"""Speaks to the engine or plain service beside this process."""
+"""HTTP client of the engine or plain service beside this process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RunningModel(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says it runs."""
+    """Model version that an engine reports as running. All fields are empty if it runs none."""
 
     model: str = ""
     version: str = ""
@@ -30,7 +30,7 @@
 
 
 class LoadOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Order to load a version, as the engine takes it."""
+    """Body of the request to load a version."""
 
     model: str
     version: str
@@ -40,7 +40,7 @@
 
 
 class EngineResponseHead:
-    """Status and headers of an answer that streams."""
+    """Status and headers of a streamed response."""
 
     __slots__ = ("headers", "status")
 
@@ -49,29 +49,29 @@
         self.headers = headers
 
     def values(self, name: str) -> list[str]:
-        """Give all values of a header."""
+        """Return all values of a header."""
         return [value for found, value in self.headers.items() if found.lower() == name.lower()]
 
 
 class ResponseSink(Protocol):
-    """Takes an answer as it comes."""
+    """Receives a response while it is streamed."""
 
     async def on_head(self, head: EngineResponseHead) -> None:
-        """Take status and headers."""
+        """Handle status and headers; called once, first."""
         ...
 
     async def on_data(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Handle the next part of the body."""
         ...
 
 
 class EngineClient:
-    """HTTP to one engine or service.
+    """HTTP client of one engine or service.
 
     Parameters
     ----------
     url
-        Its base address.
+        Base URL of the engine or service.
     """
 
     __slots__ = ("_http", "_url")
@@ -81,7 +81,7 @@
         self._url = url.rstrip("/")
 
     async def running_model(self) -> Result[RunningModel, Failure]:
-        """Ask which version the engine runs."""
+        """Request the version that the engine runs."""
         fetched = await self._http.fetch(
             "GET", f"{self._url}/admin/model", timeout_s=STATUS_TIMEOUT_S
         )
@@ -90,14 +90,14 @@
         return _decode_model(fetched.unwrap().body)
 
     async def load(self, order: LoadOrder) -> Result[RunningModel, Failure]:
-        """Order a version and wait until the engine runs it.
+        """Order the engine to load a version and wait until it runs it.
 
         Errors
         ------
         FENCE_OLD
-            The engine has seen a newer fencing number.
+            The engine has already seen a newer fencing number.
         LOAD_REFUSED
-            The engine did not load it, or runs another root afterwards.
+            The engine did not load the version, or runs another one afterwards.
         """
         fetched = await self._http.fetch(
             "POST",
@@ -119,16 +119,17 @@
         return model
 
     async def run(self, dispatch: Dispatch, sink: ResponseSink) -> Result[None, Failure]:
-        """Run one request and stream its answer.
+        """Send one request to the engine and stream the response to the sink.
 
         Errors
         ------
         BACKEND_REFUSED
-            No connection could be made, so it was not run.
+            The connection could not be made; the request was not run.
         ENGINE_FAILED
-            The connection broke, or the answer ended early.
+            The connection broke or the response ended early.
         DEADLINE_PASSED
-            The caller's deadline passed while it ran; that says nothing of the engine.
+            The deadline of the caller passed while the request ran. This is no sign of a fault of
+            the engine.
         """
         import aiohttp  # imported late, see HttpClient
 
@@ -144,7 +145,7 @@
             ) as response:
                 head = EngineResponseHead(status=response.status, headers=response.headers)
                 await sink.on_head(head)
-                async for data in _pieces(response):
+                async for data in _body_parts(response):
                     await sink.on_data(data)
         except aiohttp.ClientConnectorError as error:
             return Err(Failure(code=Code.BACKEND_REFUSED, detail=str(error)))
@@ -155,7 +156,7 @@
         return Ok(None)
 
 
-async def _pieces(response: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
+async def _body_parts(response: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
     async for data in response.content.iter_any():
         yield data
 
@@ -167,4 +168,4 @@
         return Err(Failure(code=Code.LOAD_REFUSED, detail=str(error)))
 
 
-__all__ = ["AnswerHead", "AnswerSink", "EngineClient", "EngineModel", "LoadOrder"]
+__all__ = ["EngineClient", "EngineResponseHead", "LoadOrder", "ResponseSink", "RunningModel"]
--- a/src/leadhollow/backend/engine_limit.py
+++ b/src/leadhollow/backend/engine_limit.py
@@ -1,6 +1,7 @@
-"""The request limit that the engine beside this process names in its answers.
+"""Applies the request limit that the engine beside this process names in its responses.
 
-All requests to the engine pass its gate, so one token bucket here keeps the limit for all entries.
+All requests to the engine pass its gate. One token bucket here therefore enforces the limit for all
+entries.
 """
 
 from __future__ import annotations
@@ -16,42 +17,45 @@
 from leadhollow.kernel import clocks
 from leadhollow.observe.logs import get_logger
 
-REQUEST_LIMIT_HEADER = "Request-Limit"  # requests a second that the engine takes
-ENGINE = "engine"  # the only server of the table
+REQUEST_LIMIT_HEADER = "Request-Limit"  # requests per second that the engine accepts
+ENGINE = "engine"  # key of the only server in the table
 
 log = get_logger("gate")
 
 
 class EngineLimit:
-    """Limit of one engine."""
+    """Request limit of one engine."""
 
-    __slots__ = ("_limiter", "_malformed", "_table")
+    __slots__ = ("_limiter", "_malformed_count", "_table")
 
     def __init__(self) -> None:
         self._table = LimitTable()
         self._limiter: SendLimiter | None = None
-        self._malformed = 0
+        self._malformed_count = 0
 
     @property
     def per_s(self) -> float | None:
-        """The limit in force, None where there is none."""
+        """Current limit in requests per second; None if there is none."""
         return self._table.limit(ENGINE)
 
     def record_response(self, values: Sequence[str], *, sent_s: float) -> None:
-        """Take what an answer says of the limit.
+        """Apply the limit that a response names, or lift it if the response names none.
+
+        A response to a request that was sent before the limit was named does not lift it.
 
         Parameters
         ----------
         values
-            Of the field, none where the answer names no limit.
+            All values of the header; empty if the response has none.
         sent_s
-            When the request was sent, by the clock with suspensions.
+            When the request was sent, by ``clocks.elapsed_s``, which counts suspensions of the
+            machine.
         """
         per_s = read_decimal_text(values)
         if per_s is not None:
             changed = self._table.record_limit(ENGINE, per_s=per_s, received_s=clocks.elapsed_s())
         elif values:
-            self._note_malformed()
+            self._record_malformed()
             return
         else:
             changed = self._table.lift(ENGINE, sent_s=sent_s)
@@ -59,7 +63,7 @@
             self._apply()
 
     def take(self) -> bool:
-        """Take the right to send one request; False where the limit leaves no room."""
+        """Take a token for one request. Returns False if the limit is exhausted."""
         return self._limiter is None or self._limiter.try_acquire()
 
     def _apply(self) -> None:
@@ -75,10 +79,10 @@
             )
             self._limiter.lease(1.0, until_s=float("inf"))
 
-    def _note_malformed(self) -> None:
-        if not self._malformed:
+    def _record_malformed(self) -> None:
+        if not self._malformed_count:
             log.warning("limit not taken", failure=str(Failure(code=Code.LIMIT_MALFORMED)))
-        self._malformed += 1
+        self._malformed_count += 1
 
 
-__all__ = ["LIMIT_FIELD", "EngineLimit"]
+__all__ = ["REQUEST_LIMIT_HEADER", "EngineLimit"]
--- a/src/leadhollow/backend/gate.py
+++ b/src/leadhollow/backend/gate.py
@@ -1,4 +1,4 @@
-"""The only way to the engine: which attempts may run, and which never will."""
+"""Gate in front of the engine beside this process: admits or refuses every attempt."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class GateState(Enum):
-    """Whether new work is taken."""
+    """Whether the gate admits new attempts."""
 
     OPEN = "open"
     SWITCHING = "switching"
@@ -30,7 +30,7 @@
 
 
 class Progress(Enum):
-    """What became of an attempt."""
+    """How far an admitted attempt is."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -42,27 +42,31 @@
     Parameters
     ----------
     slots
-        How many attempts may run at once.
+        Number of attempts that may run at the same time.
     signal
-        Told of every change that is announced.
+        Records every change that is to be announced.
 
     Attributes
     ----------
+    incarnation
+        Start time of this gate in ns. Attempts that name another one are refused.
     limit
-        What the engine says of the requests that it takes; while it leaves no room, entries are
-        refused as where no slot is free.
-    rest
-        Rest that the engine asks for; meanwhile entries are refused likewise.
+        Request limit of the engine. While it is exhausted, attempts are refused as if no slot were
+        free.
+    backoff
+        Back-off that the engine has requested. Meanwhile attempts are refused in the same way.
+    serving_root
+        Root hash of the version for which model calls are admitted; empty for none.
     """
 
     __slots__ = (
         "_attempts",
         "_idle",
         "_tombstones",
+        "backoff",
         "in_flight",
         "incarnation",
         "limit",
-        "backoff",
         "serving_root",
         "signal",
         "slots",
@@ -84,18 +88,19 @@
         self._idle.set()
 
     def admit(self, dispatch: Dispatch) -> Failure | None:
-        """Admit an attempt, or refuse it for good.
+        """Admit an attempt or refuse it permanently.
 
         Returns
         -------
         Failure or None
-            A refusal confirms that this attempt was not run and never will be.
+            None if the attempt is admitted. A refusal confirms that this dispatch was not run and
+            never will be.
         """
         refusal = self._refusal(dispatch)
         key = attempt_key(dispatch)
         if refusal is not None:
             if refusal.code is not Code.DUPLICATE_ATTEMPT:
-                self._bury(key)
+                self._add_tombstone(key)
             return refusal
         self._attempts[key] = Progress.RUNNING
         self.in_flight += 1
@@ -104,7 +109,7 @@
         return None
 
     def release(self, dispatch: Dispatch) -> None:
-        """Note that an admitted attempt ended."""
+        """Record that an admitted attempt has ended."""
         key = attempt_key(dispatch)
         self.backoff.release(key)
         self._attempts[key] = Progress.FINISHED
@@ -117,32 +122,32 @@
         self.signal.record_load_change()
 
     def place_tombstone(self, request_id: str, attempt: int) -> Progress | None:
-        """Put a tombstone on an attempt that has not arrived.
+        """Place a tombstone for an attempt that has not arrived, so that it never runs.
 
         Returns
         -------
         Progress or None
-            None where the tombstone is placed, else how far the attempt is.
+            None if the tombstone is placed, otherwise the progress of the attempt.
         """
         key = (request_id, attempt)
         progress = self._attempts.get(key)
         if progress is None:
-            self._bury(key)
+            self._add_tombstone(key)
         return progress
 
     def close(self, state: GateState) -> None:
-        """Refuse new work."""
+        """Refuse new attempts. A gate that drains stays in that state."""
         if self.state is not GateState.DRAINING:
             self.state = state
             self.signal.record_urgent_change()
 
     def open(self) -> None:
-        """Take new work again."""
+        """Admit new attempts again."""
         self.state = GateState.OPEN
         self.signal.record_urgent_change()
 
     def set_serving_root(self, root: str) -> None:
-        """Admit model calls for this root only; empty for none."""
+        """Admit model calls only for the version with this root hash; empty for none."""
         self.serving_root = root
         self.signal.record_urgent_change()
 
@@ -171,15 +176,15 @@
             return Failure(code=Code.SLOTS_FULL, detail="the engine's limit leaves no room")
         return None
 
-    def _bury(self, key: AttemptKey) -> None:
+    def _add_tombstone(self, key: AttemptKey) -> None:
         self._tombstones[key] = None
         while len(self._tombstones) > MAX_TOMBSTONES:
             self._tombstones.popitem(last=False)
 
 
 def attempt_key(dispatch: Dispatch) -> AttemptKey:
-    """Give what tells an attempt from all others."""
+    """Return the key that identifies an attempt."""
     return dispatch.request_id, dispatch.attempt
 
 
-__all__ = ["AttemptKey", "Gate", "GateState", "Progress", "key_of"]
+__all__ = ["AttemptKey", "Gate", "GateState", "Progress", "attempt_key"]
--- a/src/leadhollow/backend/installer.py
+++ b/src/leadhollow/backend/installer.py
@@ -1,4 +1,4 @@
-"""Carries out placement orders: fetch, verify, drain, load, confirm."""
+"""Executes placement orders: fetches a version, drains the gate and loads it into the engine."""
 
 from __future__ import annotations
 
@@ -21,31 +21,43 @@
 from leadhollow.wire.generated.ttypes import Done, Order
 from leadhollow.wire.handlers import HandlerTable
 
-VERSIONS_KEPT = 2
-ENGINE_RETRY_S = 0.5
-ENGINE_CHECK_S = 1.0
+MAX_VERSIONS = 2
+ENGINE_RETRY_PAUSE_S = 0.5
+ENGINE_POLL_INTERVAL_S = 1.0
 
 log = get_logger("installer")
 
 
 class Installer:
-    """The one giver of orders to the engine beside this process.
+    """Installs model versions on the engine beside this process.
+
+    Only the installer sends load orders to the engine.
 
     Parameters
     ----------
     failure_domain
-        Whose lease gives the fencing number of valid orders.
+        Failure domain whose lease has the fencing number of valid orders.
     catalog
-        Where the current fencing number is learnt after a restart.
+        Source of the current fencing number, also after a restart.
+
+    Attributes
+    ----------
+    running
+        Version that the engine runs.
+    engine_lost
+        Whether the engine does not respond.
+    synced
+        Set once the engine has reported its version after the start.
     """
 
     __slots__ = (
         "_catalog",
         "_deleting",
-        "_desired",
+        "_desired_order",
         "_engine",
         "_failure_domain",
         "_fence",
+        "_fetch_context",
         "_fetch_root",
         "_fetch_task",
         "_gate",
@@ -55,7 +67,6 @@
         "_recent_roots",
         "_switching",
         "_tasks",
-        "_fetch_context",
         "_wake",
         "engine_lost",
         "running",
@@ -80,7 +91,7 @@
         self._http = http
         self._fetch_context = fetch_context
         self._fence = 0
-        self._desired: Order | None = None
+        self._desired_order: Order | None = None
         self._fetch_root = ""
         self._fetch_task: asyncio.Task[Result[StoredVersion, Failure]] | None = None
         self._origin_reader: OriginReader | None = None
@@ -97,22 +108,25 @@
 
     @property
     def origin_bytes(self) -> int:
-        """Bytes this VM has read from the origin since its start."""
+        """Bytes that this process has read from the origin since its start."""
         current = 0 if self._origin_reader is None else self._origin_reader.bytes_read
         return self._origin_bytes_before + current
 
     async def start(self) -> Result[None, Failure]:
-        """Learn what the engine runs, then wait for orders."""
+        """Open the stored versions, and start the tasks for orders and for checks of the engine."""
         await asyncio.to_thread(self._fetch_context.store.open_all)
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(self._work()), loop.create_task(self._check_engine())]
+        self._tasks = [
+            loop.create_task(self._process_orders()),
+            loop.create_task(self._poll_engine()),
+        ]
         return Ok(None)
 
     async def drain(self) -> None:
-        """Nothing of a caller is in progress here."""
+        """Nothing to finish: no request of a caller is in progress here."""
 
     async def stop(self) -> None:
-        """Stop fetching; verified chunks stay on disk."""
+        """Stop the fetch. Verified chunks stay on disk."""
         tasks: list[asyncio.Task[object]] = [*self._tasks]
         if self._fetch_task is not None:
             tasks.append(self._fetch_task)
@@ -125,20 +139,22 @@
         lease = self._catalog.lease(domain_lease_name(self._failure_domain))
         if lease is None:
             return Err(Failure(code=Code.FENCE_OLD, detail="the current number is not known yet"))
-        known = max(self._fence, lease.fence)
-        if order.fence < known:
+        known_fence = max(self._fence, lease.fence)
+        if order.fence < known_fence:
             log_decision(
                 "order refused",
                 server=self._fetch_context.identity.server,
                 holder=order.holder,
                 fence=order.fence,
-                known_fence=known,
+                known_fence=known_fence,
+            )
+            return Err(
+                Failure(code=Code.FENCE_OLD, detail=f"{order.fence} is before {known_fence}")
             )
-            return Err(Failure(code=Code.FENCE_OLD, detail=f"{order.fence} is before {known}"))
         self._fence = order.fence
-        if self._desired is None or _differs(self._desired, order):
+        if self._desired_order is None or _orders_differ(self._desired_order, order):
             log_decision(
-                "order taken",
+                "order accepted",
                 server=self._fetch_context.identity.server,
                 holder=order.holder,
                 fence=order.fence,
@@ -147,63 +163,68 @@
                 activate=order.activate,
                 table_revision=order.revision,
             )
-        self._desired = order
+        self._desired_order = order
         self._wake.set()
         return Ok(Done())
 
-    async def _work(self) -> None:
-        await self._learn_running()
+    async def _process_orders(self) -> None:
+        await self._wait_for_engine()
         while True:
             await self._wake.wait()
             self._wake.clear()
-            order = self._desired
+            order = self._desired_order
             if order is None or order.root == self.running.root:
                 continue
             stored = self._fetch_context.store.version(order.root)
             if stored is None or not stored.held.complete:
-                self._begin_fetch(order)
+                self._start_fetch(order)
             elif order.activate and not self.engine_lost:
                 await self._switch(order, stored)
 
-    async def _learn_running(self) -> None:
+    async def _wait_for_engine(self) -> None:
         while True:
-            asked = await self._engine.running_model()
-            if asked.is_ok():
+            report = await self._engine.running_model()
+            if report.is_ok():
                 break
-            await asyncio.sleep(ENGINE_RETRY_S)
-        self._set_running(asked.unwrap())
+            await asyncio.sleep(ENGINE_RETRY_PAUSE_S)
+        self._set_running(report.unwrap())
         self.synced.set()
 
-    async def _check_engine(self) -> None:
-        """Notice an engine that restarted without its version, or does not answer."""
+    async def _poll_engine(self) -> None:
+        """Poll the engine, to detect a restart without its version or a lack of responses."""
         await self.synced.wait()
         while True:
-            await asyncio.sleep(ENGINE_CHECK_S)
-            asked = await self._engine.running_model()
+            await asyncio.sleep(ENGINE_POLL_INTERVAL_S)
+            report = await self._engine.running_model()
             if self._switching:
                 continue
-            self._take_answer(asked)
+            self._apply_engine_report(report)
+
+    async def _refresh_engine_report(self) -> None:
+        self._apply_engine_report(await self._engine.running_model())
 
-    async def _ask_engine(self) -> None:
-        self._take_answer(await self._engine.running_model())
+    def _apply_engine_report(self, report: Result[RunningModel, Failure]) -> None:
+        """Apply what the engine reports as running.
 
-    def _take_answer(self, asked: Result[RunningModel, Failure]) -> None:
-        """Believe what the engine says it runs; a silent one runs nothing and gets no orders."""
-        if asked.is_err() != self.engine_lost:
-            self.engine_lost = asked.is_err()
+        An engine that does not respond counts as running nothing, and no version is loaded into it.
+        """
+        if report.is_err() != self.engine_lost:
+            self.engine_lost = report.is_err()
             self._gate.signal.record_urgent_change()
             self._wake.set()
-        model = asked.unwrap() if asked.is_ok() else RunningModel()
+        model = report.unwrap() if report.is_ok() else RunningModel()
         if model.root != self.running.root:
-            log.warning("engine changed by itself", was=self.running.root, now=model.root)
+            log.warning(
+                "engine changed its version without an order", was=self.running.root, now=model.root
+            )
             self._set_running(model)
             self._wake.set()
 
-    def _begin_fetch(self, order: Order) -> None:
+    def _start_fetch(self, order: Order) -> None:
         if self._fetch_task is not None and not self._fetch_task.done():
             if self._fetch_root == order.root:
                 return
-            self._fetch_task.cancel()  # a newer order replaced it; its chunks stay on disk
+            self._fetch_task.cancel()  # replaced by a newer order; its chunks stay on disk
         self._fetch_root = order.root
         self._origin_bytes_before = self.origin_bytes
         self._origin_reader = OriginReader(http=self._http, url=order.origin_url)
@@ -221,14 +242,17 @@
             return
         error = task.exception()
         if error is not None:
-            log.error("fetch ended by an error", error=repr(error))
+            log.error("fetch raised an exception", error=repr(error))
         elif task.result().is_err():
             log.error("fetch failed", failure=str(task.result().unwrap_err()))
-        self._gate.signal.record_urgent_change()  # a version may be complete now
+        self._gate.signal.record_urgent_change()  # the complete versions may have changed
         self._wake.set()
 
     async def _switch(self, order: Order, stored: StoredVersion) -> None:
-        """Let work in progress end, then load; the gate stays shut until the engine confirmed."""
+        """Wait for the attempts in progress, then load the version.
+
+        The gate stays closed until the engine has responded to the load order.
+        """
         self._gate.close(GateState.SWITCHING)
         self._switching = True
         try:
@@ -240,7 +264,7 @@
                 self._gate.open()
 
     async def _load(self, order: Order, stored: StoredVersion) -> None:
-        if self._desired is not order and _differs(self._desired, order):
+        if self._desired_order is not order and _orders_differ(self._desired_order, order):
             return
         self._gate.set_serving_root("")
         loaded = await self._engine.load(
@@ -254,8 +278,8 @@
         )
         if loaded.is_err():
             log.error("load failed", failure=str(loaded.unwrap_err()), version=order.version)
-            await asyncio.sleep(ENGINE_RETRY_S)
-            await self._ask_engine()
+            await asyncio.sleep(ENGINE_RETRY_PAUSE_S)
+            await self._refresh_engine_report()
             self._wake.set()
         else:
             self._set_running(loaded.unwrap())
@@ -272,22 +296,22 @@
         self.running = model
         self._gate.set_serving_root(model.root)
         if model.root:
-            self._forget_old_versions(model.root)
+            self._remove_old_versions(model.root)
 
-    def _forget_old_versions(self, root: str) -> None:
+    def _remove_old_versions(self, root: str) -> None:
         if root in self._recent_roots:
             self._recent_roots.remove(root)
         self._recent_roots.append(root)
-        for old in self._recent_roots[:-VERSIONS_KEPT]:
+        for old in self._recent_roots[:-MAX_VERSIONS]:
             folder = self._fetch_context.store.remove(old)
             if folder is not None:
                 deleting = asyncio.create_task(asyncio.to_thread(delete_version, folder))
                 self._deleting.add(deleting)
                 deleting.add_done_callback(self._deleting.discard)
-        del self._recent_roots[:-VERSIONS_KEPT]
+        del self._recent_roots[:-MAX_VERSIONS]
 
 
-def _differs(desired: Order | None, order: Order) -> bool:
+def _orders_differ(desired: Order | None, order: Order) -> bool:
     if desired is None:
         return True
     return (desired.root, desired.activate) != (order.root, order.activate)
--- a/src/leadhollow/weights/__init__.py
+++ b/src/leadhollow/weights/__init__.py
@@ -1,1 +1,1 @@
-"""Model versions, chunk store and exchange."""
+"""Distribution of model weights: manifests, chunk store, and exchange of chunks between servers."""
--- a/src/leadhollow/weights/bitmap.py
+++ b/src/leadhollow/weights/bitmap.py
@@ -1,4 +1,4 @@
-"""Which chunks of a version someone holds."""
+"""Set of the chunks of a version that a server holds, as a bitmap."""
 
 from __future__ import annotations
 
@@ -6,12 +6,17 @@
 
 
 class Bitmap:
-    """A set of chunk numbers of known size, one bit each on the wire.
+    """Set of chunk numbers below a fixed count, with one bit for each chunk on the wire.
 
     Parameters
     ----------
     count
-        Number of chunks.
+        Number of chunks of the version.
+
+    Attributes
+    ----------
+    held_count
+        Number of chunks in the set.
     """
 
     __slots__ = ("_bits", "count", "held_count")
@@ -23,7 +28,7 @@
 
     @classmethod
     def from_bytes(cls, data: bytes, *, count: int) -> Bitmap:
-        """Read a bitmap; bits beyond the count are ignored, missing ones are 0."""
+        """Decode a bitmap. Bits beyond the count are ignored; missing bytes count as 0."""
         bitmap = cls(count=count)
         for position, byte in enumerate(data[: len(bitmap._bits)]):
             if byte:
@@ -36,7 +41,7 @@
         return self.held_count == self.count
 
     def add(self, index: int) -> bool:
-        """Add a chunk; False where it was there or is out of range."""
+        """Add a chunk. Returns False if it was already present or is out of range."""
         if not 0 <= index < self.count or index in self:
             return False
         self._bits[index >> 3] |= 1 << (index & 7)
@@ -44,31 +49,31 @@
         return True
 
     def add_all(self, indexes: Iterable[int]) -> None:
-        """Add several chunks."""
+        """Add several chunks. Those out of range are ignored."""
         for index in indexes:
             self.add(index)
 
     def missing(self) -> Iterator[int]:
-        """Give the chunks that are not held."""
+        """Iterate over the chunks that are not held, in ascending order."""
         return (index for index in range(self.count) if index not in self)
 
     def indexes(self) -> Iterator[int]:
-        """Give the chunks that are held."""
+        """Iterate over the chunks that are held, in ascending order."""
         return (index for index in range(self.count) if index in self)
 
     def discard_all(self, indexes: Iterable[int]) -> None:
-        """Remove chunks that turned out damaged."""
+        """Remove chunks, for example damaged ones. Those that are not held are ignored."""
         for index in indexes:
             if 0 <= index < self.count and index in self:
                 self._bits[index >> 3] &= ~(1 << (index & 7))
                 self.held_count -= 1
 
     def to_bytes(self) -> bytes:
-        """Give the bits, chunk 0 in the lowest bit of the first byte."""
+        """Encode the set as bytes, with chunk 0 in the lowest bit of the first byte."""
         return bytes(self._bits)
 
     def to_int(self) -> int:
-        """Give the chunks that are held as the bits of a number."""
+        """Return the set as an integer, with chunk 0 in the lowest bit."""
         return int.from_bytes(self._bits, "little")
 
     def __contains__(self, index: int) -> bool:
--- a/src/leadhollow/weights/exchange.py
+++ b/src/leadhollow/weights/exchange.py
@@ -1,4 +1,4 @@
-"""Serves chunks to other backend servers and tells them which ones are held."""
+"""Serves chunks to other backend servers and streams to them which chunks are held."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.streams import StreamSink
 
-MANIFEST_INDEX = -1
-HAVE_INTERVAL_S = 0.02
+MANIFEST_INDEX = -1  # chunk number by which a peer requests the manifest
+HAVE_BATCH_WINDOW_S = 0.02
 
 
 class HaveNotifier:
-    """Wakes those who watch which chunks of a version are held."""
+    """Wakes the tasks that wait for a change in the held chunks of a version."""
 
     __slots__ = ("_events",)
 
@@ -28,19 +28,19 @@
         self._events: dict[str, asyncio.Event] = {}
 
     def notify(self, root: str) -> None:
-        """Tell the watchers of a version that it changed."""
+        """Wake all tasks that wait for a change of this version."""
         event = self._events.pop(root, None)
         if event is not None:
             event.set()
 
     async def wait_changed(self, root: str) -> None:
-        """Wait for the next change of a version."""
+        """Wait for the next change of this version."""
         event = self._events.setdefault(root, asyncio.Event())
         await event.wait()
 
 
 class ExchangeServer:
-    """Answers have-watches and chunk requests from the chunk store."""
+    """Serves held-chunk streams and chunk requests from the chunk store."""
 
     __slots__ = ("_have_notifier", "_link", "_store", "uploaded_bytes")
 
@@ -58,16 +58,16 @@
         root = request.root
         while (stored := self._store.version(root)) is None:
             await self._have_notifier.wait_changed(root)
-        told = len(stored.arrivals)
+        sent_count = len(stored.arrivals)
         await sink.send(HaveUpdate(stored.held.to_bytes(), []))
         while True:
-            if told == len(stored.arrivals):
+            if sent_count == len(stored.arrivals):
                 if stored.held.complete:
                     return Ok(None)
                 await self._have_notifier.wait_changed(root)
-                await asyncio.sleep(HAVE_INTERVAL_S)
-            added = stored.arrivals[told:]
-            told += len(added)
+                await asyncio.sleep(HAVE_BATCH_WINDOW_S)
+            added = stored.arrivals[sent_count:]
+            sent_count += len(added)
             if added:
                 await sink.send(HaveUpdate(b"", added))
 
@@ -91,4 +91,4 @@
         return Ok(ChunkReply(data))
 
 
-__all__ = ["MANIFEST_INDEX", "ExchangeServer", "HaveBoard"]
+__all__ = ["MANIFEST_INDEX", "ExchangeServer", "HaveNotifier"]
--- a/src/leadhollow/weights/fetch.py
+++ b/src/leadhollow/weights/fetch.py
@@ -1,4 +1,4 @@
-"""Brings one version to this VM: leased origin reads and exchange with neighbours."""
+"""Fetches one version to this VM, from neighbours and by leased reads from the origin."""
 
 from __future__ import annotations
 
@@ -19,28 +19,29 @@
 from leadhollow.wire.generated.ttypes import ChunkRequest, SwarmJoin, SwarmNeighbours
 
 CALL_TIMEOUT_MS = 1_000
-MANIFEST_WAIT_S = 2.0
-MANIFEST_POLL_S = 0.05
-MANIFEST_AGAIN_S = 1.0
-PROGRESS_INTERVAL_S = 2.0
+NEIGHBOUR_MANIFEST_TIMEOUT_S = 2.0
+NEIGHBOUR_MANIFEST_POLL_S = 0.05
+MANIFEST_RETRY_S = 1.0
+SAVE_PROGRESS_INTERVAL_S = 2.0
 
 log = get_logger("fetch")
 
 
 class Fetch:
-    """One version on its way to this VM.
+    """Fetch of one version to this VM.
 
     Parameters
     ----------
     root
         Root hash of the version.
     origin
-        Where chunks that no backend server holds are read.
+        Reads chunks that no backend server holds.
     hedge
-        Whether chunks that others read slowly may be read from the origin as well.
+        Whether a chunk may also be read from the origin here while another server is slow to
+        read it.
     """
 
-    __slots__ = ("_hedge", "_origin", "_context", "root")
+    __slots__ = ("_context", "_hedge", "_origin", "root")
 
     def __init__(
         self, *, root: str, origin: OriginReader, context: FetchContext, hedge: bool
@@ -51,14 +52,14 @@
         self._hedge = hedge
 
     async def run(self) -> Result[StoredVersion, Failure]:
-        """Fetch until every chunk is held and checked.
+        """Fetch until every chunk is held and its hash is verified.
 
         Errors
         ------
         ROOT_MISMATCH, MANIFEST_INVALID, EMPTY_MODEL
-            What the origin offers is not the version that the root names.
+            The origin serves another version than the root hash names.
         STORE_FULL
-            The disk refused a write.
+            A write to disk failed.
         """
         opened = await self._open()
         if opened.is_err():
@@ -86,28 +87,31 @@
             failure = encoded.unwrap_err()
             if failure.code is not Code.ORIGIN_FAILED:
                 return Err(failure)
-            log.warning("manifest not read", root=self.root[:12], failure=str(failure))
-            await asyncio.sleep(MANIFEST_AGAIN_S)
+            log.warning("manifest read failed; retrying", root=self.root[:12], failure=str(failure))
+            await asyncio.sleep(MANIFEST_RETRY_S)
 
     async def _find_manifest(self) -> Result[bytes, Failure]:
-        """Take the manifest from a neighbour; only a first joiner asks the origin at once."""
+        """Get the manifest from a neighbour, or from the origin.
+
+        The origin is read at once if there is no neighbour, and after a timeout if none has it.
+        """
         loop = asyncio.get_running_loop()
-        deadline_s = loop.time() + MANIFEST_WAIT_S
+        deadline_s = loop.time() + NEIGHBOUR_MANIFEST_TIMEOUT_S
         identity = self._context.identity
         join = SwarmJoin(self.root, identity.server, identity.address, identity.failure_domain, 0)
         while loop.time() < deadline_s:
             reply = await self._context.call_tracker(self.root, join)
-            answer = reply.unwrap() if reply.is_ok() else SwarmNeighbours([])
-            if not answer.neighbours:
+            swarm = reply.unwrap() if reply.is_ok() else SwarmNeighbours([])
+            if not swarm.neighbours:
                 break
-            for neighbour in answer.neighbours:
-                found = await self._ask_neighbour(neighbour.address)
+            for neighbour in swarm.neighbours:
+                found = await self._request_manifest(neighbour.address)
                 if found is not None:
                     return Ok(found)
-            await asyncio.sleep(MANIFEST_POLL_S)
+            await asyncio.sleep(NEIGHBOUR_MANIFEST_POLL_S)
         return await self._origin.manifest()
 
-    async def _ask_neighbour(self, address: str) -> bytes | None:
+    async def _request_manifest(self, address: str) -> bytes | None:
         request = ChunkRequest(self.root, MANIFEST_INDEX)
         reply = await self._context.peers.call(address, request, timeout_ms=CALL_TIMEOUT_MS)
         if reply.is_err():
@@ -138,8 +142,8 @@
 
 async def _save_progress(stored: StoredVersion) -> None:
     while True:
-        await asyncio.sleep(PROGRESS_INTERVAL_S)
+        await asyncio.sleep(SAVE_PROGRESS_INTERVAL_S)
         await asyncio.to_thread(stored.save_progress)
 
 
-__all__ = ["Fetch", "FetchTools", "ServerIdentity"]
+__all__ = ["Fetch", "FetchContext", "ServerIdentity"]
--- a/src/leadhollow/weights/fetch_state.py
+++ b/src/leadhollow/weights/fetch_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one fetch share: chunks held, in flight, and the news of progress."""
+"""State that the parts of one fetch share: chunks held, chunks in flight, progress events."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ServerIdentity:
-    """Who we are to other backend servers."""
+    """Name, address and failure domain of this backend server, as sent to other ones."""
 
     __slots__ = ("address", "failure_domain", "server")
 
@@ -33,12 +33,12 @@
 
 
 class FetchContext:
-    """What every fetch of one backend server shares.
+    """Dependencies that all fetches of one backend server share.
 
     Parameters
     ----------
     trackers
-        Gives the addresses to ask for leases of a root, the preferred one first.
+        Returns the addresses of the trackers of a root hash, the preferred one first.
     """
 
     __slots__ = ("have_notifier", "identity", "link", "peers", "store", "trackers")
@@ -61,12 +61,12 @@
         self.trackers = trackers
 
     async def call_tracker(self, root: str, body: Body) -> Result[Body, Failure]:
-        """Ask the first tracker of a version that answers.
+        """Call the trackers of a version in order until one replies.
 
         Errors
         ------
         TRACKER_ABSENT
-            None answered.
+            No tracker replied.
         """
         for address in self.trackers(root):
             reply = await self.peers.call(address, body, timeout_ms=TRACKER_TIMEOUT_MS)
@@ -76,16 +76,26 @@
 
 
 class FetchState:
-    """Chunks of one version on their way to this VM."""
+    """Progress of the fetch of one version.
+
+    Attributes
+    ----------
+    in_flight
+        Chunks that are being read now.
+    completed
+        Set once every chunk is held.
+    last_progress_s
+        When a chunk was last stored, by the clock of the event loop.
+    """
 
     __slots__ = (
         "_progress",
         "completed",
+        "context",
         "in_flight",
         "last_progress_s",
         "root",
         "stored",
-        "context",
     )
 
     def __init__(self, *, root: str, stored: StoredVersion, context: FetchContext) -> None:
@@ -99,25 +109,25 @@
 
     @property
     def server(self) -> str:
-        """Our own name."""
+        """Name of this backend server."""
         return self.context.identity.server
 
     def is_wanted(self, chunk: int) -> bool:
-        """Tell whether a chunk is neither held nor on its way."""
+        """Whether a chunk is neither held nor in flight."""
         return chunk not in self.stored.held and chunk not in self.in_flight
 
     async def store_chunk(self, chunk: int, data: bytes, *, source: str) -> Result[None, Failure]:
-        """Check a chunk, write it and tell everyone who waits.
+        """Verify a chunk, write it to disk and wake the tasks that wait for progress.
 
         Errors
         ------
         CHUNK_MISMATCH, STORE_FULL
-            It was not kept.
+            The chunk was not stored.
         """
         written = await asyncio.to_thread(self.stored.write_chunk, chunk, data)
         if written.is_err():
             failure = written.unwrap_err()
-            log.warning("chunk refused", chunk=chunk, source=source, failure=str(failure))
+            log.warning("chunk not stored", chunk=chunk, source=source, failure=str(failure))
             return written
         if self.stored.held.add(chunk):
             self.stored.arrivals.append(chunk)
@@ -129,17 +139,17 @@
         return Ok(None)
 
     def notify_progress(self) -> None:
-        """Tell those who wait that something changed."""
+        """Wake all tasks in ``wait_progress``."""
         self._progress.set()
         self._progress = asyncio.Event()
 
-    async def wait_progress(self, longest_s: float) -> None:
-        """Wait for a change, at most for a time."""
+    async def wait_progress(self, timeout_s: float) -> None:
+        """Wait for progress, at most ``timeout_s``."""
         try:
-            async with asyncio.timeout(longest_s):
+            async with asyncio.timeout(timeout_s):
                 await self._progress.wait()
         except TimeoutError:
             return
 
 
-__all__ = ["FetchState", "FetchTools", "ServerIdentity"]
+__all__ = ["FetchState", "FetchContext", "ServerIdentity"]
--- a/src/leadhollow/weights/lease_policies.py
+++ b/src/leadhollow/weights/lease_policies.py
@@ -1,6 +1,6 @@
-"""Ways to share reads of the origin out over the participants of a version.
+"""Policies that assign reads from the origin to the participants of a version.
 
-The first is used; the others are measured against it.
+``ExactLeasePolicy`` is the default; the others are for experiments.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 LEASE_VALID_S = 10.0
 HEDGE_AFTER_S = 1.0
-SHARES_EACH = 2  # a requester gets this part of its even share at once
-LEAST_UNREAD = 2  # one chunk that is read and one leased ahead
-HEDGE_CAP_COPIES = 0.4
+PARTS_PER_SHARE = 2  # a grant is the even share of the free chunks, divided by this
+MIN_UNREAD = 2  # one chunk being read and one leased ahead
+HEDGE_CAP_COPIES = 0.4  # hedged reads per chunk of the version
 
 
 class ChunkLease:
-    """Right of one server to read one chunk.
+    """Right of one server to read one chunk from the origin.
 
     Parameters
     ----------
-    lost
-        Tells whether the connection over which it was given is closed: its reader is gone.
+    is_lost
+        Returns whether the connection of the lease holder is closed.
     """
 
     __slots__ = ("expires_s", "is_lost", "server")
@@ -37,9 +37,21 @@
 
 
 class LeaseTable:
-    """Which chunks of a version are free, leased or delivered."""
+    """Chunks of one version by state: free, leased or delivered.
 
-    __slots__ = ("delivered", "hedged_count", "free", "leases", "revoked")
+    Attributes
+    ----------
+    delivered
+        Chunks that some server holds.
+    free
+        Chunks that may be leased, the next one last; entries may be stale.
+    revoked
+        Revoked chunks by server, to be reported in the reply to its next request.
+    hedged_count
+        Hedged reads granted so far.
+    """
+
+    __slots__ = ("delivered", "free", "hedged_count", "leases", "revoked")
 
     def __init__(self, *, chunk_count: int) -> None:
         self.delivered = Bitmap(count=chunk_count)
@@ -49,12 +61,12 @@
         self.hedged_count = 0
 
     def grant_hedged(self, *, requester: LeaseRequester, now_s: float) -> list[int]:
-        """Give chunks that others have been reading for long, within the cap of extra reads."""
-        slow_s = now_s + LEASE_VALID_S - HEDGE_AFTER_S
+        """Grant chunks that others have been reading for long, within the cap on hedged reads."""
+        slow_expiry_s = now_s + LEASE_VALID_S - HEDGE_AFTER_S
         slow = [
             chunk
             for chunk, lease in self.leases.items()
-            if lease.expires_s <= slow_s
+            if lease.expires_s <= slow_expiry_s
             and lease.server != requester.server
             and chunk not in requester.held
         ]
@@ -64,27 +76,27 @@
         return given
 
     def mark_delivered(self, chunks: list[int]) -> None:
-        """Note chunks that somebody holds."""
+        """Record chunks that some server holds, and end their leases."""
         for chunk in chunks:
             self.delivered.add(chunk)
             self.leases.pop(chunk, None)
 
     def release_expired(self, now_s: float) -> None:
-        """Free chunks whose reader is gone or did not deliver in time."""
+        """End leases that have expired or whose holder has disconnected, and free the chunks."""
         for chunk, lease in list(self.leases.items()):
             if now_s >= lease.expires_s or lease.is_lost():
                 del self.leases[chunk]
                 self.free.append(chunk)
 
     def release_stuck(self, chunks: list[int]) -> None:
-        """Free delivered chunks that nobody can give any more."""
+        """Free delivered chunks that no reachable server holds any more."""
         for chunk in chunks:
             if 0 <= chunk < self.delivered.count and chunk not in self.leases:
                 self.delivered.discard_all([chunk])
                 self.free.append(chunk)
 
     def lease_free(self, requester: LeaseRequester, count: int, now_s: float) -> list[int]:
-        """Lease up to ``count`` free chunks."""
+        """Lease up to ``count`` free chunks to a requester."""
         given: list[int] = []
         while self.free and len(given) < count:
             chunk = self.free.pop()
@@ -102,21 +114,21 @@
 
 
 class LeaseRequester:
-    """Who asks for leases.
+    """Server that requests leases.
 
     Parameters
     ----------
-    room
-        Chunks that it can take.
+    capacity
+        How many chunks it can take.
     held
-        Chunks that it has.
+        Chunks that it holds.
     participants
-        How many take part in the version.
-    lost
-        Tells whether its connection is closed.
+        Number of servers that fetch or hold the version.
+    is_lost
+        Returns whether its connection is closed.
     """
 
-    __slots__ = ("held", "is_lost", "participants", "capacity", "server")
+    __slots__ = ("capacity", "held", "is_lost", "participants", "server")
 
     def __init__(
         self,
@@ -135,59 +147,68 @@
 
 
 class LeasePolicy(Protocol):
-    """Decides which chunks a requester may read."""
+    """Decides which chunks a requester may read from the origin.
+
+    Attributes
+    ----------
+    exchange
+        Whether servers exchange chunks with each other under this policy.
+    """
 
     exchange: bool
 
-    def grant(self, book: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
-        """Give chunks to a requester."""
+    def grant(self, table: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
+        """Return the chunks granted to a requester."""
         ...
 
 
 class ExactLeasePolicy:
-    """Never more chunks than asked for; nothing free gives nothing.
+    """Leases at most as many free chunks as requested, and none if none is free.
 
-    Towards the end less is given at a time, so that no one has several chunks before it while
-    others have none.
+    Grants get smaller as the free chunks run out. This keeps one server from having several chunks
+    left to read while others have none.
     """
 
     __slots__ = ()
     exchange = True
 
-    def grant(self, book: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
-        """Lease free chunks, no more than there is room for."""
-        part = len(book.free) // (SHARES_EACH * max(requester.participants, 1))
-        unread = sum(1 for lease in book.leases.values() if lease.server == requester.server)
-        allowed = min(requester.capacity, max(LEAST_UNREAD, part) - unread)
-        return book.lease_free(requester, max(0, allowed), now_s)
+    def grant(self, table: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
+        """Lease free chunks within the capacity of the requester."""
+        part = len(table.free) // (PARTS_PER_SHARE * max(requester.participants, 1))
+        unread = sum(1 for lease in table.leases.values() if lease.server == requester.server)
+        allowed = min(requester.capacity, max(MIN_UNREAD, part) - unread)
+        return table.lease_free(requester, max(0, allowed), now_s)
 
 
 class WidenedLeasePolicy:
-    """Everything that is free to the first who asks; later ones take half of the largest lease."""
+    """Leases all free chunks to the first requester.
+
+    Each later requester takes over half of the chunks of the server that has most leased.
+    """
 
     __slots__ = ()
     exchange = True
 
-    def grant(self, book: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
-        """Lease all that is free, or call half of the largest holder's chunks back."""
-        given = book.lease_free(requester, book.delivered.count, now_s)
-        if given or any(lease.server == requester.server for lease in book.leases.values()):
+    def grant(self, table: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
+        """Lease all free chunks, or else revoke half of the chunks of the largest holder."""
+        given = table.lease_free(requester, table.delivered.count, now_s)
+        if given or any(lease.server == requester.server for lease in table.leases.values()):
             return given
         by_server: dict[str, list[int]] = {}
-        for chunk, lease in book.leases.items():
+        for chunk, lease in table.leases.items():
             by_server.setdefault(lease.server, []).append(chunk)
         if not by_server:
             return []
         largest = max(by_server, key=lambda holder: len(by_server[holder]))
-        taken = sorted(by_server[largest])[len(by_server[largest]) // 2 + 1 :]
-        for chunk in taken:
-            book.lease_to(requester, chunk, now_s)
-        book.revoked.setdefault(largest, []).extend(taken)
-        return taken
+        revoked_chunks = sorted(by_server[largest])[len(by_server[largest]) // 2 + 1 :]
+        for chunk in revoked_chunks:
+            table.lease_to(requester, chunk, now_s)
+        table.revoked.setdefault(largest, []).extend(revoked_chunks)
+        return revoked_chunks
 
 
 class NoLeasePolicy:
-    """Any chunk that the requester lacks, whoever else reads it."""
+    """Grants any chunk that the requester lacks, even if other servers read it too."""
 
     __slots__ = ("_random", "exchange")
 
@@ -195,14 +216,14 @@
         self.exchange = exchange
         self._random = random.Random(seed)
 
-    def grant(self, book: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
-        """Give random chunks that the requester lacks."""
+    def grant(self, table: LeaseTable, *, requester: LeaseRequester, now_s: float) -> list[int]:
+        """Grant random chunks that the requester lacks."""
         missing = list(requester.held.missing())
         return self._random.sample(missing, min(requester.capacity, len(missing)))
 
 
 def lease_policy(mode: LeaseMode, *, seed: int) -> LeasePolicy:
-    """Give the rule of a mode."""
+    """Return the policy of a lease mode."""
     match mode:
         case LeaseMode.EXACT:
             return ExactLeasePolicy()
@@ -214,4 +235,11 @@
             return NoLeasePolicy(exchange=False, seed=seed)
 
 
-__all__ = ["LEASE_VALID_S", "Asker", "ChunkLease", "LeaseBook", "LeaseRule", "lease_rule"]
+__all__ = [
+    "LEASE_VALID_S",
+    "ChunkLease",
+    "LeasePolicy",
+    "LeaseRequester",
+    "LeaseTable",
+    "lease_policy",
+]
--- a/src/leadhollow/weights/manifest.py
+++ b/src/leadhollow/weights/manifest.py
@@ -1,4 +1,4 @@
-"""What a model version consists of: ordered chunks, each with its hash, under one root hash."""
+"""Manifest of a model version: the hashes of its chunks in order, identified by one root hash."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 DEFAULT_CHUNK_BYTES = 1024 * 1024
 MAX_CHUNK_BYTES = 16 * 1024 * 1024
 HASH_BYTES = 32
-HASH_HEX_CHARACTERS = 2 * HASH_BYTES
+HASH_HEX_DIGITS = 2 * HASH_BYTES
 
 
 class Manifest(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An immutable model version.
+    """Description of an immutable model version.
 
     Parameters
     ----------
@@ -45,33 +45,33 @@
         return len(self.chunk_hashes)
 
     def chunk_range(self, index: int) -> tuple[int, int]:
-        """Give offset and size in bytes of a chunk."""
+        """Return the offset and the size of a chunk, both in bytes."""
         offset = index * self.chunk_bytes
         return offset, min(self.chunk_bytes, self.size_bytes - offset)
 
     def chunk_matches(self, index: int, data: bytes) -> bool:
-        """Tell whether bytes are this chunk."""
+        """Whether the data has the size and the hash of this chunk."""
         _, size = self.chunk_range(index)
         return len(data) == size and blake3(data).hexdigest() == self.chunk_hashes[index]
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
-    """Encode a manifest; its root hash is the BLAKE3 of these bytes."""
+    """Encode a manifest. The root hash of the version is the BLAKE3 of these bytes."""
     return msgspec.json.encode(manifest)
 
 
 def root_hash(encoded: bytes) -> str:
-    """Give the root hash of an encoded manifest."""
+    """Return the root hash of an encoded manifest, as hex."""
     return str(blake3(encoded).hexdigest())
 
 
 def decode_manifest(encoded: bytes, *, root: str) -> Result[Manifest, Failure]:
-    """Decode a manifest and check that it is whole.
+    """Decode a manifest and validate it.
 
     Errors
     ------
     ROOT_MISMATCH
-        These are not the bytes that the root hash names.
+        The bytes do not match the root hash.
     MANIFEST_INVALID
         A field is malformed, or the chunks do not cover the file exactly.
     """
@@ -86,18 +86,18 @@
 
 
 def check_manifest(manifest: Manifest) -> Failure | None:
-    """Check sizes, the number of chunks and the form of their hashes."""
+    """Validate the sizes, the number of chunks and the format of their hashes."""
     if manifest.format != FORMAT_VERSION:
         return _invalid("format", f"expected {FORMAT_VERSION}, found {manifest.format}")
     if manifest.size_bytes < 1:
         return Failure(code=Code.EMPTY_MODEL, field="size_bytes")
     if not 1 <= manifest.chunk_bytes <= MAX_CHUNK_BYTES:
-        return _invalid("chunk_bytes", f"expected 1 to {MAXIMUM_CHUNK_BYTES}")
+        return _invalid("chunk_bytes", f"expected 1 to {MAX_CHUNK_BYTES}")
     expected = -(-manifest.size_bytes // manifest.chunk_bytes)
     if manifest.chunk_count != expected:
         return _invalid("chunk_hashes", f"expected {expected}, found {manifest.chunk_count}")
     for position, text in enumerate(manifest.chunk_hashes):
-        if len(text) != HASH_HEX_CHARACTERS or not set(text) <= set("0123456789abcdef"):
+        if len(text) != HASH_HEX_DIGITS or not set(text) <= set("0123456789abcdef"):
             return _invalid(f"chunk_hashes[{position}]", "expected 64 lower-case hex digits")
     return None
 
@@ -105,14 +105,14 @@
 def build_manifest(
     path: Path, *, model: str, version: str, chunk_bytes: int = DEFAULT_CHUNK_BYTES
 ) -> Result[Manifest, Failure]:
-    """Hash a model file.
+    """Build the manifest of a model file.
 
     Errors
     ------
     FILE_UNREADABLE
         The file cannot be read.
     EMPTY_MODEL
-        The file has no bytes.
+        The file is empty.
     """
     try:
         hashes = tuple(blake3(chunk).hexdigest() for chunk in _read_chunks(path, chunk_bytes))
@@ -148,5 +148,5 @@
     "check_manifest",
     "decode_manifest",
     "encode_manifest",
-    "root_of",
+    "root_hash",
 ]
--- a/src/leadhollow/weights/named_versions.py
+++ b/src/leadhollow/weights/named_versions.py
@@ -1,4 +1,4 @@
-"""Versions of weights that an operator names and an origin describes."""
+"""Versions of model weights, as an operator names them and an origin describes them."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class PieceManifest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a version consists of, as its origin says.
+    """Pieces of a version and their digests, as its origin describes them.
 
     Parameters
     ----------
     algorithm
-        Name of the digest.
+        Name of the digest algorithm.
     digests
-        Digests of all pieces in order, one after the other.
+        Digests of all pieces, concatenated in order.
     layers
-        Layers of the model; each needs the pieces of its part of the file.
+        Number of layers of the model. Each layer needs the pieces of its part of the file.
     """
 
     algorithm: str
@@ -33,23 +33,23 @@
         return len(self.digests) // DIGEST_BYTES[self.algorithm]
 
     def matches(self, index: int, data: bytes) -> bool:
-        """Tell whether bytes are this piece."""
+        """Whether the data has the digest of this piece."""
         size = DIGEST_BYTES[self.algorithm]
         expected = self.digests[index * size : (index + 1) * size]
         return hashlib.new(self.algorithm, data).digest() == expected
 
 
 class NamedVersion(msgspec.Struct, frozen=True, kw_only=True, tag="weights"):
-    """A version that engines shall run.
+    """Version of a model that engines are to run.
 
     Parameters
     ----------
     number
         Higher numbers are newer.
     named
-        Whether an operator named it; otherwise engines brought it with them.
+        Whether an operator named it. Otherwise it is known from engines that already ran it.
     manifest
-        None until the origin was read.
+        None until it has been read from the origin.
     """
 
     model: str
@@ -59,7 +59,7 @@
 
 
 def weights_key(model: str, number: int) -> str:
-    """Catalog key of a version."""
+    """Return the catalog key of a version."""
     return f"weights/{model}/{number}"
 
 
--- a/src/leadhollow/weights/neighbour_chunks.py
+++ b/src/leadhollow/weights/neighbour_chunks.py
@@ -1,4 +1,4 @@
-"""Which chunks a neighbour can give that are still wanted, the rarest first."""
+"""Selects the chunks to request from a neighbour, the rarest first."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from leadhollow.weights.bitmap import Bitmap
 
-SAMPLE = 12
+SAMPLE_SIZE = 12
 
 
 class HolderCounts:
-    """How many neighbours hold each chunk."""
+    """Number of neighbours that hold each chunk."""
 
     __slots__ = ("_counts",)
 
@@ -20,32 +20,32 @@
         self._counts = [0] * chunk_count
 
     def add(self, chunk: int) -> None:
-        """Count one more holder."""
+        """Add a holder of a chunk."""
         self._counts[chunk] += 1
 
     def remove_all(self, chunks: Iterable[int]) -> None:
-        """Count one holder less of each."""
+        """Remove a holder of each of these chunks."""
         for chunk in chunks:
             self._counts[chunk] -= 1
 
     def of(self, chunk: int) -> int:
-        """Give the number of holders."""
+        """Return the number of holders of a chunk."""
         return self._counts[chunk]
 
 
 class NeighbourChunks:
-    """Chunks of one neighbour.
+    """Chunks that one neighbour holds, and a queue of those to request from it.
 
-    Choosing costs the same however many chunks there are: a few are drawn at random, stale ones
-    are dropped as they are met, and the rarest of the rest is taken.
+    The cost of a selection does not depend on the number of chunks. A few are drawn at random,
+    those no longer wanted are dropped, and the rarest of the others is selected.
 
     Parameters
     ----------
-    wanted
-        Tells whether a chunk is neither held nor on its way.
+    is_wanted
+        Returns whether a chunk is neither held nor in flight.
     """
 
-    __slots__ = ("_chunks", "_random", "_rarity", "_is_wanted", "available", "held")
+    __slots__ = ("_is_wanted", "_queue", "_random", "_rarity", "available", "held")
 
     def __init__(
         self,
@@ -58,48 +58,48 @@
         self._rarity = rarity
         self._is_wanted = is_wanted
         self._random = generator
-        self._chunks: list[int] = []
+        self._queue: list[int] = []
         self.held = Bitmap(count=held.count)
         self.available = asyncio.Event()
         self.add_all(held.indexes())
 
     def add_all(self, chunks: Iterable[int]) -> None:
-        """Note chunks that the neighbour came to hold."""
+        """Add chunks that the neighbour now holds."""
         for chunk in chunks:
             if self.held.add(chunk):
                 self._rarity.add(chunk)
                 if self._is_wanted(chunk):
-                    self._chunks.append(chunk)
-        if self._chunks:
+                    self._queue.append(chunk)
+        if self._queue:
             self.available.set()
 
     def requeue(self, chunk: int) -> None:
-        """Offer a chunk again that was on its way and did not come."""
+        """Queue a chunk again after a read of it failed."""
         if chunk in self.held:
-            self._chunks.append(chunk)
+            self._queue.append(chunk)
             self.available.set()
 
     def take_rarest(self) -> int | None:
-        """Take the rarest of a few wanted chunks; None where there is none."""
-        drawn: list[int] = []
-        while self._chunks and len(drawn) < SAMPLE:
-            position = self._random.randrange(len(self._chunks))
-            chunk = self._chunks[position]
-            self._chunks[position] = self._chunks[-1]
-            self._chunks.pop()
+        """Remove and return the rarest of a few wanted chunks; None if there is none."""
+        candidates: list[int] = []
+        while self._queue and len(candidates) < SAMPLE_SIZE:
+            position = self._random.randrange(len(self._queue))
+            chunk = self._queue[position]
+            self._queue[position] = self._queue[-1]
+            self._queue.pop()
             if self._is_wanted(chunk):
-                drawn.append(chunk)
-        if not drawn:
+                candidates.append(chunk)
+        if not candidates:
             self.available.clear()
             return None
-        chosen = min(drawn, key=self._rarity.of)
-        self._chunks.extend(chunk for chunk in drawn if chunk != chosen)
-        return chosen
+        rarest = min(candidates, key=self._rarity.of)
+        self._queue.extend(chunk for chunk in candidates if chunk != rarest)
+        return rarest
 
     def clear(self) -> None:
-        """Take everything back: the neighbour is gone."""
+        """Remove all chunks, after the neighbour has gone."""
         self._rarity.remove_all(self.held.indexes())
-        self._chunks.clear()
+        self._queue.clear()
 
 
-__all__ = ["Offers", "Rarity"]
+__all__ = ["HolderCounts", "NeighbourChunks"]
--- a/src/leadhollow/weights/origin.py
+++ b/src/leadhollow/weights/origin.py
@@ -1,4 +1,4 @@
-"""Reads manifests and chunks from the origin by HTTP ranges."""
+"""Reads the manifest and the chunks of a version from the origin over HTTP."""
 
 from __future__ import annotations
 
@@ -13,12 +13,17 @@
 
 
 class OriginReader:
-    """Reads one version's files.
+    """Reads the files of one version.
 
     Parameters
     ----------
     url
         Folder of the version at the origin.
+
+    Attributes
+    ----------
+    bytes_read
+        Bytes of all response bodies so far.
     """
 
     __slots__ = ("_http", "_url", "bytes_read")
@@ -29,18 +34,18 @@
         self.bytes_read = 0
 
     async def manifest(self) -> Result[bytes, Failure]:
-        """Read the encoded manifest.
+        """Fetch the encoded manifest.
 
         Errors
         ------
         ORIGIN_FAILED
-            The origin did not answer, or not with the file.
+            The origin did not respond, or its response was not the file.
         """
         fetched = await self._http.fetch(
             "GET", f"{self._url}/manifest", timeout_s=MANIFEST_TIMEOUT_S
         )
         if fetched.is_err():
-            return Err(_failed(fetched.unwrap_err()))
+            return Err(_origin_failure(fetched.unwrap_err()))
         reply = fetched.unwrap()
         if reply.status != 200:
             return Err(Failure(code=Code.ORIGIN_FAILED, detail=f"manifest: HTTP {reply.status}"))
@@ -48,19 +53,19 @@
         return Ok(reply.body)
 
     async def chunk(self, offset: int, size: int) -> Result[bytes, Failure]:
-        """Read a range of the weights.
+        """Fetch a byte range of the weights file.
 
         Errors
         ------
         ORIGIN_FAILED
-            The origin did not answer with exactly this range.
+            The origin did not respond with exactly this range.
         """
         headers = {"Range": f"bytes={offset}-{offset + size - 1}"}
         fetched = await self._http.fetch(
             "GET", f"{self._url}/weights", headers=headers, timeout_s=CHUNK_TIMEOUT_S
         )
         if fetched.is_err():
-            return Err(_failed(fetched.unwrap_err()))
+            return Err(_origin_failure(fetched.unwrap_err()))
         reply = fetched.unwrap()
         self.bytes_read += len(reply.body)
         if reply.status != 206 or len(reply.body) != size:
@@ -69,7 +74,7 @@
         return Ok(reply.body)
 
 
-def _failed(failure: Failure) -> Failure:
+def _origin_failure(failure: Failure) -> Failure:
     return Failure(code=Code.ORIGIN_FAILED, detail=failure.detail)
 
 
--- a/src/leadhollow/weights/origin_dialect.py
+++ b/src/leadhollow/weights/origin_dialect.py
@@ -1,4 +1,4 @@
-"""What the product asks of an origin's interface."""
+"""Interface to the HTTP API of an origin of weights."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DescribedVersion:
-    """A version as its origin describes it."""
+    """Version of a model as its origin describes it."""
 
     __slots__ = ("manifest", "model", "number")
 
@@ -22,10 +22,10 @@
 
 
 class OriginDialect(Protocol):
-    """How an origin of weights is spoken to."""
+    """Builds requests to an origin of weights and decodes its responses."""
 
     def manifest_target(self, model: str, number: int | None) -> str:
-        """Give path and query of a version's manifest; None asks for the newest."""
+        """Return the path and query of the manifest of a version; None means the newest one."""
         ...
 
     def read_manifest(self, body: bytes) -> Result[DescribedVersion, Failure]:
@@ -33,7 +33,7 @@
         ...
 
     def piece_target(self, model: str, number: int, index: int) -> str:
-        """Give path and query of one piece."""
+        """Return the path and query of one piece."""
         ...
 
 
--- a/src/leadhollow/weights/pacing.py
+++ b/src/leadhollow/weights/pacing.py
@@ -1,4 +1,4 @@
-"""Keeps weights within their part of a link."""
+"""Limits the rate of weight transfers to their share of a network link."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 
 class Pacer:
-    """Token bucket over bytes; waiters are served in the order they came.
+    """Token bucket over bytes that serves waiters in order of arrival.
 
     Parameters
     ----------
     rate_bytes_per_s
-        Called at each take, so that the rate can follow live traffic.
+        Returns the current rate. It is called for each transfer because the rate changes with the
+        live traffic.
     burst_s
-        Idle time that may be made up for; it bounds what queues at the link at once.
+        Idle time whose unused bytes may be sent at once. It bounds the queue at the link.
     """
 
     __slots__ = ("_burst_s", "_free_at_s", "_rate_bytes_per_s", "bytes_taken")
@@ -30,24 +31,24 @@
         self.bytes_taken = 0
 
     def ready(self) -> bool:
-        """Tell whether bytes could be taken now without waiting."""
+        """Whether bytes can be taken now without waiting."""
         return asyncio.get_running_loop().time() >= self._free_at_s
 
     def spend(self, size_bytes: int) -> None:
-        """Take bytes without waiting; those that come next wait for them."""
+        """Take bytes without waiting. Later transfers wait for them."""
         now_s = asyncio.get_running_loop().time()
         start_s = max(self._free_at_s, now_s - self._burst_s)
         self._free_at_s = start_s + size_bytes / self._rate_bytes_per_s()
         self.bytes_taken += size_bytes
 
     async def wait_until_free(self) -> None:
-        """Wait until the link has carried everything that was taken."""
+        """Wait until the link has carried all bytes taken so far."""
         loop = asyncio.get_running_loop()
-        while (wait_s := self._free_at_s - loop.time()) > 0:  # others take meanwhile
+        while (wait_s := self._free_at_s - loop.time()) > 0:  # other tasks take bytes meanwhile
             await sleep_at_least(wait_s)
 
     async def take(self, size_bytes: int) -> None:
-        """Wait until the link has carried all bytes before these, and then these."""
+        """Take bytes and wait until the link has carried them and all bytes taken before."""
         loop = asyncio.get_running_loop()
         now_s = loop.time()
         start_s = max(self._free_at_s, now_s - self._burst_s)
@@ -59,16 +60,17 @@
 
 
 class Link:
-    """Both directions of one VM's link, as far as weights may use them.
+    """Pacers for weight transfers over the network link of one VM, one for each direction.
 
     Parameters
     ----------
     bytes_per_s
         Speed of the link in each direction.
     weights_share
-        Part for weights while requests are in progress.
+        Share for weights while requests are in progress; otherwise weights may use the whole
+        link.
     busy
-        Tells whether requests are in progress.
+        Returns whether requests are in progress.
     """
 
     __slots__ = ("download", "upload")
--- a/src/leadhollow/weights/peer_reads.py
+++ b/src/leadhollow/weights/peer_reads.py
@@ -1,4 +1,4 @@
-"""Reads of one fetch from neighbours: the chunk that fewest of them hold first."""
+"""Reads chunks of one fetch from neighbours, those with the fewest holders first."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from leadhollow.wire.streams import CallStream
 
 REQUESTS_PER_NEIGHBOUR = 2
-REQUESTS_AT_ONCE = 9  # more would wait in the neighbours' queues and delay what is rare
-REJOIN_FIRST_S = 0.1
-REJOIN_LONGEST_S = 1.6
+MAX_CONCURRENT_REQUESTS = 9  # more would queue at the neighbours and delay rare chunks
+MIN_REJOIN_PAUSE_S = 0.1
+MAX_REJOIN_PAUSE_S = 1.6
 CHUNK_TIMEOUT_MS = 15_000
-BAN_FIRST_S = 5.0
-BAN_LONGEST_S = 300.0
+MIN_BAN_S = 5.0
+MAX_BAN_S = 300.0
 
 log = get_logger("fetch")
 
@@ -43,29 +43,29 @@
 
 
 class PeerReads:
-    """Exchange with the neighbours that the tracker names."""
+    """Exchanges chunks with the neighbours that the tracker names."""
 
     __slots__ = (
+        "_ban_counts",
         "_banned_until_s",
-        "_bans",
+        "_holder_counts",
         "_neighbours",
         "_random",
-        "_rarity",
+        "_request_slots",
         "_state",
-        "_turns",
     )
 
     def __init__(self, *, state: FetchState) -> None:
         self._state = state
         self._random = random.Random(f"{state.root}{state.server}")
-        self._rarity = HolderCounts(chunk_count=state.stored.manifest.chunk_count)
-        self._turns = asyncio.Semaphore(REQUESTS_AT_ONCE)
+        self._holder_counts = HolderCounts(chunk_count=state.stored.manifest.chunk_count)
+        self._request_slots = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
         self._neighbours: dict[str, _NeighbourState] = {}
         self._banned_until_s: dict[str, float] = {}
-        self._bans: dict[str, int] = {}
+        self._ban_counts: dict[str, int] = {}
 
     def neighbour_bitmaps(self) -> list[Bitmap]:
-        """Give what each neighbour holds."""
+        """Return the set of chunks that each neighbour holds."""
         return [
             neighbour.chunks.held
             for neighbour in self._neighbours.values()
@@ -73,21 +73,21 @@
         ]
 
     async def run(self) -> None:
-        """Keep the neighbours; cancelled when the fetch ends."""
-        pause_s = REJOIN_FIRST_S
+        """Join the swarm repeatedly and exchange with all neighbours, until cancelled."""
+        pause_s = MIN_REJOIN_PAUSE_S
         try:
             while True:
                 for neighbour in await join_swarm(self._state):
-                    self._meet(neighbour)
+                    self._add_neighbour(neighbour)
                 await asyncio.sleep(pause_s)
-                pause_s = min(2 * pause_s, REJOIN_LONGEST_S)
+                pause_s = min(2 * pause_s, MAX_REJOIN_PAUSE_S)
         finally:
             tasks = [state.task for state in self._neighbours.values() if state.task is not None]
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _meet(self, neighbour: Neighbour) -> None:
+    def _add_neighbour(self, neighbour: Neighbour) -> None:
         known = self._neighbours.get(neighbour.server)
         if known is not None and known.task is not None and not known.task.done():
             return
@@ -98,13 +98,16 @@
         self._neighbours[state.server] = state
 
     async def _exchange(self, neighbour: _NeighbourState) -> None:
-        """Follow what one neighbour holds and request from it; the one task of that peer."""
+        """Follow which chunks one neighbour holds, and request chunks from it.
+
+        Each neighbour has one task that runs this.
+        """
         connected = await self._state.context.peers.connection(neighbour.address)
         if connected.is_err():
             return
-        offers = neighbour.chunks = NeighbourChunks(
+        chunks = neighbour.chunks = NeighbourChunks(
             held=Bitmap(count=self._state.stored.manifest.chunk_count),
-            rarity=self._rarity,
+            rarity=self._holder_counts,
             is_wanted=self._state.is_wanted,
             generator=self._random,
         )
@@ -112,21 +115,22 @@
         stream = connected.unwrap().stream(body)
         loop = asyncio.get_running_loop()
         workers = [
-            loop.create_task(self._request_chunks(neighbour, offers))
+            loop.create_task(self._request_chunks(neighbour, chunks))
             for _ in range(REQUESTS_PER_NEIGHBOUR)
         ]
         try:
-            if await self._follow(offers, stream):
-                await asyncio.gather(*workers)  # the neighbour is complete, requests go on
+            if await self._follow_updates(chunks, stream):
+                # The neighbour holds all chunks and sends no more updates; the requests continue.
+                await asyncio.gather(*workers)
         finally:
             stream.cancel()
-            offers.clear()
+            chunks.clear()
             neighbour.chunks = None
             for worker in workers:
                 worker.cancel()
 
-    async def _follow(self, offers: NeighbourChunks, stream: CallStream) -> bool:
-        """Take have-updates; True once the neighbour holds everything."""
+    async def _follow_updates(self, chunks: NeighbourChunks, stream: CallStream) -> bool:
+        """Apply held-chunk updates. Returns True once the neighbour holds all chunks."""
         while True:
             received = await stream.next()
             if received.is_err():
@@ -135,16 +139,16 @@
             if update is None:
                 return True
             if update.bitmap:
-                held = Bitmap.from_bytes(update.bitmap, count=offers.held.count)
-                offers.add_all(held.indexes())
-            offers.add_all(update.added or ())
+                held = Bitmap.from_bytes(update.bitmap, count=chunks.held.count)
+                chunks.add_all(held.indexes())
+            chunks.add_all(update.added or ())
 
-    async def _request_chunks(self, neighbour: _NeighbourState, offers: NeighbourChunks) -> None:
+    async def _request_chunks(self, neighbour: _NeighbourState, chunks: NeighbourChunks) -> None:
         state = self._state
         while not state.stored.held.complete:
-            await offers.available.wait()
-            async with self._turns:
-                chunk = offers.take_rarest()
+            await chunks.available.wait()
+            async with self._request_slots:
+                chunk = chunks.take_rarest()
                 failure = None if chunk is None else await self._request(neighbour, chunk)
             if failure is not None:
                 self._ban(neighbour, failure)
@@ -161,7 +165,7 @@
                 self.requeue(chunk)
 
     def requeue(self, chunk: int) -> None:
-        """Offer a chunk again that did not come, by everyone who holds it."""
+        """Queue a chunk again for all neighbours that hold it, after a read of it failed."""
         for neighbour in self._neighbours.values():
             if neighbour.chunks is not None:
                 neighbour.chunks.requeue(chunk)
@@ -181,28 +185,26 @@
         return None
 
     def _ban(self, neighbour: _NeighbourState, failure: Failure) -> None:
-        """Leave a neighbour alone, each time for twice as long."""
-        bans = self._bans.get(neighbour.server, 0) + 1
-        self._bans[neighbour.server] = bans
-        ban_s = min(BAN_FIRST_S * 2 ** (bans - 1), BAN_LONGEST_S)
+        """Stop using a neighbour for a time that doubles with each ban."""
+        bans = self._ban_counts.get(neighbour.server, 0) + 1
+        self._ban_counts[neighbour.server] = bans
+        ban_s = min(MIN_BAN_S * 2 ** (bans - 1), MAX_BAN_S)
         self._banned_until_s[neighbour.server] = _now_s() + ban_s
-        log.warning(
-            "neighbour left alone", server=neighbour.server, failure=str(failure), ban_s=ban_s
-        )
+        log.warning("neighbour banned", server=neighbour.server, failure=str(failure), ban_s=ban_s)
         if neighbour.task is not None:
             neighbour.task.cancel()
 
 
 async def join_swarm(state: FetchState) -> list[Neighbour]:
-    """Tell the tracker that we take part; gives our neighbours."""
+    """Join the swarm of a version at its tracker and return the neighbours that it assigns."""
     identity = state.context.identity
     held = state.stored.held.held_count
     body = SwarmJoin(state.root, identity.server, identity.address, identity.failure_domain, held)
     reply = await state.context.call_tracker(state.root, body)
     if reply.is_err():
         return []
-    answer: SwarmNeighbours = reply.unwrap()
-    return list(answer.neighbours or ())
+    swarm: SwarmNeighbours = reply.unwrap()
+    return list(swarm.neighbours or ())
 
 
 def _now_s() -> float:
--- a/src/leadhollow/weights/store.py
+++ b/src/leadhollow/weights/store.py
@@ -1,4 +1,4 @@
-"""Chunks of model versions on the disk of a backend server's VM."""
+"""Stores the chunks of model versions on the local disk of a backend server."""
 
 from __future__ import annotations
 
@@ -20,45 +20,45 @@
 MANIFEST_FILE = "manifest"
 PROGRESS_FILE = "progress"
 COMPLETE_FILE = "complete"
-GONE = ".gone-"  # in the name of a folder that is to be deleted
+DELETED_MARKER = ".gone-"  # part of the name of a folder that is to be deleted
 HEX_DIGITS = frozenset("0123456789abcdef")
 
 log = get_logger("chunk-store")
 
 
 class StoredVersion:
-    """One version, whole or in part.
+    """One version on disk, complete or partial.
 
-    Every method that touches the disk blocks: call it from a worker thread.
+    Methods that access the disk block and must be called from a worker thread.
     """
 
-    __slots__ = ("_descriptor", "_saving", "arrivals", "folder", "held", "manifest", "root")
+    __slots__ = ("_descriptor", "_save_lock", "arrivals", "folder", "held", "manifest", "root")
 
     def __init__(self, *, folder: Path, root: str, manifest: Manifest) -> None:
         self.folder = folder
         self.root = root
         self.manifest = manifest
         self.held = Bitmap(count=manifest.chunk_count)
-        self.arrivals: list[int] = []  # chunks in the order they came since the start
+        self.arrivals: list[int] = []  # chunks added since the start, in order of arrival
         self._descriptor = -1
-        self._saving = threading.Lock()
+        self._save_lock = threading.Lock()
 
     @property
     def data_path(self) -> Path:
-        """File that an engine loads once the version is complete."""
+        """Path of the file that an engine loads once the version is complete."""
         return self.folder / DATA_FILE
 
     def open(self) -> Result[None, Failure]:
-        """Open the data file and take over the chunks that are whole.
+        """Open the data file and find the chunks that are intact.
 
-        Every chunk noted as held is read and hashed again: a crash may have lost its bytes.
+        Chunks recorded as held are read and hashed again because a crash may have lost their bytes.
         """
         try:
             self._descriptor = os.open(self.data_path, os.O_RDWR | os.O_CREAT, 0o644)
             os.truncate(self._descriptor, self.manifest.size_bytes)
-            noted = read_file(self.folder / PROGRESS_FILE).unwrap_or(None)
-            if noted is not None:
-                for index in Bitmap.from_bytes(noted, count=self.manifest.chunk_count).indexes():
+            recorded = read_file(self.folder / PROGRESS_FILE).unwrap_or(None)
+            if recorded is not None:
+                for index in Bitmap.from_bytes(recorded, count=self.manifest.chunk_count).indexes():
                     if self.manifest.chunk_matches(index, self._read(index)):
                         self.held.add(index)
         except OSError as error:
@@ -66,14 +66,14 @@
         return Ok(None)
 
     def write_chunk(self, index: int, data: bytes) -> Result[None, Failure]:
-        """Check a chunk's hash and write it; the caller then adds it to ``held``.
+        """Verify the hash of a chunk and write it. The caller then adds the chunk to ``held``.
 
         Errors
         ------
         CHUNK_MISMATCH
-            The bytes are not this chunk; nothing is written.
+            The data has another hash or size than the chunk; nothing is written.
         STORE_FULL
-            The disk refused the write.
+            The write failed or was partial.
         """
         if not self.manifest.chunk_matches(index, data):
             return Err(Failure(code=Code.CHUNK_MISMATCH, detail=f"chunk {index}"))
@@ -92,7 +92,7 @@
         Errors
         ------
         CHUNK_UNKNOWN
-            The number is out of range or the chunk is not held.
+            The number is out of range, the chunk is not held or it cannot be read.
         """
         if not 0 <= index < self.manifest.chunk_count or index not in self.held:
             return Err(Failure(code=Code.CHUNK_UNKNOWN, detail=f"chunk {index}"))
@@ -102,8 +102,8 @@
             return Err(Failure(code=Code.CHUNK_UNKNOWN, detail=str(error)))
 
     def save_progress(self) -> Result[None, Failure]:
-        """Note which chunks are held, for a restart; several threads may ask at once."""
-        with self._saving:
+        """Record on disk which chunks are held, for use after a restart. It is thread-safe."""
+        with self._save_lock:
             try:
                 os.fdatasync(self._descriptor)
             except OSError as error:
@@ -111,12 +111,12 @@
             return replace_file(self.folder / PROGRESS_FILE, self.held.to_bytes())
 
     def finish(self) -> Result[None, Failure]:
-        """Read every chunk once more, sync, and mark the version complete.
+        """Verify all chunks on disk, sync the file and mark the version complete.
 
         Errors
         ------
         ROOT_MISMATCH
-            A chunk on disk is not what was written; it is dropped and must be fetched again.
+            A chunk on disk is damaged. It is removed from ``held`` and must be fetched again.
         """
         damaged = [
             index
@@ -143,35 +143,38 @@
 
 
 class ChunkStore:
-    """All versions on one VM.
+    """All versions on the disk of one VM.
 
     Parameters
     ----------
     folder
-        Holds a folder for each root hash and nothing else.
+        Contains one folder for each root hash and nothing else.
     """
 
-    __slots__ = ("_folder", "_forgotten", "_versions")
+    __slots__ = ("_folder", "_removed_count", "_versions")
 
     def __init__(self, *, folder: Path) -> None:
         self._folder = folder
-        self._forgotten = 0  # versions since the start
+        self._removed_count = 0  # versions removed since the start
         self._versions: dict[str, StoredVersion] = {}
 
     def version(self, root: str) -> StoredVersion | None:
-        """Find an open version."""
+        """Return an open version, or None."""
         return self._versions.get(root)
 
     def complete_roots(self) -> list[str]:
-        """Give the roots of which every chunk is held and checked."""
+        """Return the root hashes of the versions of which all chunks are held."""
         return sorted(root for root, stored in self._versions.items() if stored.held.complete)
 
     def open_all(self) -> None:
-        """Open what an earlier run left; a damaged version is skipped and logged."""
+        """Open the versions on disk and delete those removed by an earlier run.
+
+        A damaged version is logged and skipped.
+        """
         if not self._folder.is_dir():
             return
         for folder in sorted(self._folder.iterdir()):
-            if GONE in folder.name:
+            if DELETED_MARKER in folder.name:
                 delete_version(folder)
                 continue
             encoded = read_file(folder / MANIFEST_FILE).unwrap_or(None)
@@ -182,7 +185,7 @@
                 log.warning("version skipped", root=folder.name, failure=opened.unwrap_err())
 
     def open_version(self, root: str, encoded_manifest: bytes) -> Result[StoredVersion, Failure]:
-        """Open or create a version from its encoded manifest.
+        """Open a version from its encoded manifest, and create it if it is absent.
 
         Errors
         ------
@@ -212,27 +215,32 @@
         return Ok(stored)
 
     def encoded_manifest(self, root: str) -> bytes | None:
-        """Read the manifest of a version as it was received."""
+        """Read the encoded manifest of a version; None if it is absent or damaged."""
         if not valid_root(root):
             return None
         encoded = read_file(self._folder / root / MANIFEST_FILE).unwrap_or(None)
         return encoded if encoded is not None and root_hash(encoded) == root else None
 
     def remove(self, root: str) -> Path | None:
-        """Forget a version, which may then be fetched anew.
+        """Remove a version from the store, and move its files aside for deletion.
+
+        The version may be fetched again at once.
 
         Returns
         -------
         Path or None
-            Where its files lie now, for :func:`delete_version`; None where there are none.
+            Folder to pass to :func:`delete_version`. None if the version is not open or its folder
+            could not be renamed.
         """
         stored = self._versions.pop(root, None)
         if stored is None:
             return None
         stored.close()
-        self._forgotten += 1
+        self._removed_count += 1
         try:
-            return stored.folder.rename(stored.folder.with_name(f"{root}{GONE}{self._forgotten}"))
+            return stored.folder.rename(
+                stored.folder.with_name(f"{root}{DELETED_MARKER}{self._removed_count}")
+            )
         except OSError as error:
             log.warning("version not deleted", folder=root, error=str(error))
             return None
@@ -244,15 +252,15 @@
 
 
 def delete_version(folder: Path) -> None:
-    """Delete the files of a forgotten version; a large one takes its time."""
+    """Delete the files of a removed version. It blocks for long if the version is large."""
     try:
         shutil.rmtree(folder)
-    except OSError as error:  # what is left is tried again at the next start
+    except OSError as error:  # the next start deletes the remaining files
         log.warning("version not deleted", folder=folder.name, error=str(error))
 
 
 def valid_root(root: str) -> bool:
-    """Tell whether a text is a root hash, and so safe as a folder's name."""
+    """Whether a text is a root hash, and so safe to use as the name of a folder."""
     return len(root) == 64 and set(root) <= HEX_DIGITS
 
 
--- a/src/leadhollow/weights/tracker.py
+++ b/src/leadhollow/weights/tracker.py
@@ -1,4 +1,4 @@
-"""Leases of origin reads over exact chunks, and neighbours for the exchange."""
+"""Tracker of model versions: leases reads from the origin and assigns neighbours."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class _Swarm:
-    """Soft state of one version: who takes part, and who reads which chunk."""
+    """Soft state of one version: its participants and the leases of its chunks."""
 
     __slots__ = ("lease_table", "participants")
 
@@ -52,12 +52,12 @@
 
 
 class Tracker:
-    """Decides who reads a chunk from the origin, and who exchanges with whom.
+    """Decides which server reads a chunk from the origin and which servers are neighbours.
 
-    All state is soft; a tracker that takes over learns what is held from the requests themselves.
+    All state is soft. A tracker that takes over learns from the requests which chunks are held.
     """
 
-    __slots__ = ("_random", "_lease_policy", "_settings", "_swarms")
+    __slots__ = ("_lease_policy", "_random", "_settings", "_swarms")
 
     def __init__(self, *, handlers: HandlerTable, settings: WeightsSettings, seed: int) -> None:
         self._swarms: dict[str, _Swarm] = {}
@@ -75,7 +75,7 @@
         """Nothing to finish."""
 
     async def stop(self) -> None:
-        """Forget all swarms."""
+        """Discard all swarms."""
         self._swarms.clear()
 
     async def _on_join(
@@ -88,35 +88,37 @@
         )
         if not self._lease_policy.exchange:
             return Ok(SwarmNeighbours([]))
-        return Ok(SwarmNeighbours(self._neighbours(swarm, request, now_s)))
+        return Ok(SwarmNeighbours(self._choose_neighbours(swarm, request, now_s)))
 
-    def _neighbours(self, swarm: _Swarm, request: SwarmJoin, now_s: float) -> list[Neighbour]:
-        inside: list[Neighbour] = []
-        across: list[Neighbour] = []
+    def _choose_neighbours(
+        self, swarm: _Swarm, request: SwarmJoin, now_s: float
+    ) -> list[Neighbour]:
+        local: list[Neighbour] = []
+        remote: list[Neighbour] = []
         for server, participant in list(swarm.participants.items()):
             if now_s - participant.last_seen_s > PARTICIPANT_VALID_S:
                 del swarm.participants[server]
             elif server != request.server:
-                near = participant.failure_domain == request.failure_domain
-                (inside if near else across).append(
+                is_local = participant.failure_domain == request.failure_domain
+                (local if is_local else remote).append(
                     Neighbour(server, participant.address, participant.failure_domain)
                 )
         limit = self._settings.neighbours_inside
-        chosen = self._random.sample(inside, min(len(inside), limit))
+        chosen = self._random.sample(local, min(len(local), limit))
         spare = limit - len(chosen)
-        across_count = min(len(across), self._settings.neighbours_across + spare)
-        return chosen + self._random.sample(across, across_count)
+        remote_count = min(len(remote), self._settings.neighbours_across + spare)
+        return chosen + self._random.sample(remote, remote_count)
 
     async def _on_lease(
         self, request: OriginLeaseRequest, connection: Connection
     ) -> Result[OriginLease, Failure]:
         swarm = self._swarm(request.root, request.chunk_count)
-        book = swarm.lease_table
+        table = swarm.lease_table
         now_s = _now_s()
         held = Bitmap.from_bytes(request.held or b"", count=request.chunk_count)
-        book.mark_delivered([*held.indexes(), *(request.done or ())])
-        book.release_expired(now_s)
-        book.release_stuck(list(request.stuck or ()))
+        table.mark_delivered([*held.indexes(), *(request.done or ())])
+        table.release_expired(now_s)
+        table.release_stuck(list(request.stuck or ()))
         requester = LeaseRequester(
             server=request.server,
             capacity=request.window,
@@ -124,25 +126,25 @@
             participants=len(swarm.participants),
             is_lost=connection.closed.is_set,
         )
-        given = self._lease_policy.grant(book, requester=requester, now_s=now_s)
-        if not given and request.hedge:
-            given = book.grant_hedged(requester=requester, now_s=now_s)
-        if given:
+        granted = self._lease_policy.grant(table, requester=requester, now_s=now_s)
+        if not granted and request.hedge:
+            granted = table.grant_hedged(requester=requester, now_s=now_s)
+        if granted:
             log_decision(
                 "origin lease",
                 root=request.root[:12],
                 server=request.server,
-                chunks=given,
-                free=len(book.free),
+                chunks=granted,
+                free=len(table.free),
             )
         return Ok(
             OriginLease(
-                given,
+                granted,
                 int(LEASE_VALID_S * 1000),
-                len(book.free),
+                len(table.free),
                 RETRY_MS,
                 self._settings.lease_window,
-                book.revoked.pop(request.server, []),
+                table.revoked.pop(request.server, []),
             )
         )
 
--- a/tests/backend/test_gate.py
+++ b/tests/backend/test_gate.py
@@ -1,4 +1,4 @@
-"""Which attempts may run, and which never will."""
+"""Admission and refusal of attempts by the gate."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     return Dispatch(**{**given, **changed})
 
 
-class TestEnter:
-    def test_admits_and_counts(self, gate):
+class TestAdmit:
+    def test_admitted_attempt_is_counted(self, gate):
         assert gate.admit(dispatch(gate)) is None
         assert gate.in_flight == 1
 
@@ -43,54 +43,54 @@
             ({"root": "another"}, Code.BACKEND_REFUSED),
         ],
     )
-    def test_refuses(self, gate, changed, code):
+    def test_attempt_for_another_incarnation_or_root_is_refused(self, gate, changed, code):
         assert gate.admit(dispatch(gate, **changed)).code is code
         assert gate.in_flight == 0
 
-    def test_refuses_when_full(self, gate):
+    def test_attempt_is_refused_if_no_slot_is_free(self, gate):
         gate.admit(dispatch(gate, "a"))
         gate.admit(dispatch(gate, "b"))
         assert gate.admit(dispatch(gate, "c")).code is Code.SLOTS_FULL
 
-    def test_an_attempt_runs_once(self, gate):
+    def test_attempt_runs_at_most_once(self, gate):
         gate.admit(dispatch(gate))
         assert gate.admit(dispatch(gate)).code is Code.DUPLICATE_ATTEMPT
         gate.release(dispatch(gate))
         assert gate.admit(dispatch(gate)).code is Code.DUPLICATE_ATTEMPT
 
     @pytest.mark.parametrize("state", [GateState.DRAINING, GateState.SWITCHING])
-    def test_a_closed_gate_refuses(self, gate, state):
+    def test_closed_gate_refuses_attempts(self, gate, state):
         gate.close(state)
         assert gate.admit(dispatch(gate)).code is Code.DRAINING
 
-    def test_a_refused_attempt_never_runs_later(self, gate):
+    def test_refused_attempt_is_not_admitted_later(self, gate):
         gate.close(GateState.DRAINING)
         gate.admit(dispatch(gate))
         gate.open()
         assert gate.admit(dispatch(gate)).code is Code.TOMBSTONED
 
-    def test_a_service_call_names_no_root(self, gate):
+    def test_service_call_needs_no_root(self, gate):
         assert gate.admit(dispatch(gate, root="", model_call=False)) is None
 
 
 class TestTombstones:
-    def test_a_withdrawn_attempt_that_arrives_late_is_refused(self, gate):
+    def test_late_attempt_with_a_tombstone_is_refused(self, gate):
         assert gate.place_tombstone("r", 1) is None
         assert gate.admit(dispatch(gate)).code is Code.TOMBSTONED
 
-    def test_a_running_attempt_cannot_be_withdrawn(self, gate):
+    def test_no_tombstone_is_placed_for_an_attempt_that_has_run(self, gate):
         gate.admit(dispatch(gate))
         assert gate.place_tombstone("r", 1) is Progress.RUNNING
         gate.release(dispatch(gate))
         assert gate.place_tombstone("r", 1) is Progress.FINISHED
 
-    def test_only_the_named_attempt_is_withdrawn(self, gate):
+    def test_tombstone_affects_only_its_attempt(self, gate):
         gate.place_tombstone("r", 1)
         assert gate.admit(dispatch(gate, attempt=2)) is None
 
 
 class TestDrain:
-    async def test_waits_for_what_runs(self, gate):
+    async def test_drain_waits_for_running_attempts(self, gate):
         gate.admit(dispatch(gate))
         gate.close(GateState.DRAINING)
         waiting = asyncio.ensure_future(gate.wait_idle())
@@ -99,14 +99,14 @@
         gate.release(dispatch(gate))
         await asyncio.wait_for(waiting, 5)
 
-    def test_a_switch_does_not_end_a_drain(self, gate):
+    def test_switch_does_not_end_a_drain(self, gate):
         gate.close(GateState.DRAINING)
         gate.close(GateState.SWITCHING)
         assert gate.state is GateState.DRAINING
 
 
 class TestLimit:
-    def test_of_the_engine_holds_for_all_entries(self, gate, monkeypatch):
+    def test_engine_limit_applies_to_all_entries(self, gate, monkeypatch):
         now_s = [100.0]
         monkeypatch.setattr(clocks, "elapsed_s", lambda: now_s[0])
         gate.limit.record_response(["2"], sent_s=now_s[0])
@@ -122,7 +122,7 @@
                 assert refusal.code is Code.SLOTS_FULL
         assert 7 <= admitted <= 2 * 4 + 2
 
-    def test_that_is_named_no_more_is_over(self, gate, monkeypatch):
+    def test_limit_ends_when_a_later_response_names_none(self, gate, monkeypatch):
         now_s = [100.0]
         monkeypatch.setattr(clocks, "elapsed_s", lambda: now_s[0])
         gate.limit.record_response(["0.1"], sent_s=100.0)
@@ -132,7 +132,7 @@
         assert gate.admit(dispatch(gate, "b")) is None
 
     @pytest.mark.parametrize("values", [[""], ["-1"], ["nan"], ["1,3"], ["1", "2"]])
-    def test_that_is_no_number_changes_nothing(self, gate, monkeypatch, values):
+    def test_malformed_limit_is_ignored(self, gate, monkeypatch, values):
         monkeypatch.setattr(clocks, "elapsed_s", lambda: 100.0)
         gate.limit.record_response(values, sent_s=99.0)
         assert gate.limit.per_s is None
@@ -141,9 +141,9 @@
         assert gate.limit.per_s == 2.0
 
 
-class TestRest:
-    # Guards against: each entry goes on to send to an engine that wants rest, behind its gate.
-    async def test_holds_for_all_entries_and_ends_with_one_attempt(self, gate):
+class TestBackoff:
+    # Guards against: other entries keep sending to an engine that has requested a back-off.
+    async def test_backoff_applies_to_all_entries_and_ends_with_one_probe(self, gate):
         gate.backoff.record_response(("r", 1), 503, ["0.1"])
         assert gate.admit(dispatch(gate, "a")).code is Code.SLOTS_FULL
         await asyncio.sleep(0.25)
@@ -154,7 +154,7 @@
         gate.backoff.record_response(("b", 1), 200, [])
         assert gate.admit(dispatch(gate, "d")) is None
 
-    async def test_goes_on_where_the_attempt_that_finds_out_breaks(self, gate):
+    async def test_another_attempt_becomes_the_probe_if_the_probe_breaks(self, gate):
         gate.backoff.record_response(("r", 1), 503, ["0.05"])
         await asyncio.sleep(0.15)
         assert gate.admit(dispatch(gate, "a")) is None
@@ -165,6 +165,8 @@
         ("status", "values"),
         [(503, []), (503, ["0"]), (503, ["soon"]), (503, ["1", "2"]), (200, ["9"])],
     )
-    async def test_is_asked_for_by_503_and_a_number_of_seconds_only(self, gate, status, values):
+    async def test_only_503_with_a_positive_number_of_seconds_starts_a_backoff(
+        self, gate, status, values
+    ):
         gate.backoff.record_response(("r", 1), status, values)
         assert gate.admit(dispatch(gate)) is None
--- a/tests/backend/test_installer.py
+++ b/tests/backend/test_installer.py
@@ -1,4 +1,4 @@
-"""What an installer does with versions that it needs no more."""
+"""Removal of old versions by the installer."""
 
 from __future__ import annotations
 
@@ -12,8 +12,11 @@
 
 
 class TestOldVersions:
-    # Guards against: deleting a large version holds up the streams of the engine beside it.
-    async def test_are_deleted_without_holding_up_the_loop(self, tmp_path, monkeypatch):
+    # Guards against: the deletion of a large version blocks the event loop and stalls the
+    # streams of the engine beside it.
+    async def test_old_version_is_deleted_without_blocking_the_event_loop(
+        self, tmp_path, monkeypatch
+    ):
         work = BlockingWork()
         deleted = []
 
@@ -22,7 +25,7 @@
             deleted.append(folder)
 
         monkeypatch.setattr(installer, "delete_version", delete)
-        made = installer.Installer(
+        under_test = installer.Installer(
             failure_domain="d",
             catalog=None,
             gate=SimpleNamespace(set_serving_root=lambda root: None),
@@ -34,7 +37,7 @@
             handlers=HandlerTable(),
         )
         for root in ("a", "b", "c"):
-            made._set_running(RunningModel(root=root))
+            under_test._set_running(RunningModel(root=root))
         await eventually(lambda: deleted, "a deleted version")
         await asyncio.sleep(0)
         assert deleted == [tmp_path / "a"]
--- a/tests/weights/test_exchange.py
+++ b/tests/weights/test_exchange.py
@@ -1,4 +1,4 @@
-"""What a backend server tells the others about the versions that it holds."""
+"""Serving of chunks and manifests to other backend servers."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.support import BlockingWork
 
 
-class Store:
-    """Reads a manifest from a disk that takes its time."""
+class BlockingStore:
+    """Store whose manifest reads block."""
 
     def __init__(self) -> None:
         self.work = BlockingWork()
@@ -19,10 +19,11 @@
         return root.encode()
 
 
-class TestManifests:
-    # Guards against: a slow disk holds up the streams of the engine beside it.
-    async def test_are_read_without_holding_up_the_loop(self):
-        store = Store()
+class TestManifestRequests:
+    # Guards against: a manifest read from a slow disk runs on the event loop and stalls the
+    # streams of the engine beside it.
+    async def test_manifest_is_read_without_blocking_the_event_loop(self):
+        store = BlockingStore()
         server = ExchangeServer(
             store=store, have_notifier=HaveNotifier(), link=None, handlers=HandlerTable()
         )
--- a/tests/weights/test_pacing.py
+++ b/tests/weights/test_pacing.py
@@ -1,4 +1,4 @@
-"""How often a pacer has its loop wake."""
+"""Number of sleeps for which a pacer wakes the event loop."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 SLICES = 40
 SLICE_BYTES = 4_096
-RATE_BYTES_PER_S = 400_000  # a slice takes 10.24 ms: no whole number of milliseconds
-SLEEPS_A_SLICE = 2.0  # one, and another one where the loop's clock is a step behind
+RATE_BYTES_PER_S = 400_000  # a slice takes 10.24 ms, which is no whole number of milliseconds
+MAX_SLEEPS_PER_SLICE = 2.0  # a second one is needed if the clock of the loop is a step behind
 
 
-class TestAPacerThatIsWaitedFor:
+class TestPacer:
     @pytest.mark.parametrize("new_loop", [uvloop.new_event_loop, asyncio.new_event_loop])
-    def test_sleeps_once_for_each_slice(self, new_loop, monkeypatch):
-        sleeps = _counted_sleeps(monkeypatch)
+    def test_wait_for_a_slice_sleeps_at_most_twice(self, new_loop, monkeypatch):
+        sleeps = _count_sleeps(monkeypatch)
 
         async def work() -> float:
             pacer = Pacer(rate_bytes_per_s=lambda: RATE_BYTES_PER_S, burst_s=0.0)
@@ -31,26 +31,26 @@
 
         with asyncio.Runner(loop_factory=new_loop) as runner:
             took_s = runner.run(work())
-        assert len(sleeps) <= SLEEPS_A_SLICE * SLICES
+        assert len(sleeps) <= MAX_SLEEPS_PER_SLICE * SLICES
         assert took_s >= SLICES * SLICE_BYTES / RATE_BYTES_PER_S
 
-    def test_by_several_sleeps_no_more_for_each(self, monkeypatch):
-        sleeps = _counted_sleeps(monkeypatch)
+    def test_concurrent_waiters_sleep_at_most_once_for_each_slice(self, monkeypatch):
+        sleeps = _count_sleeps(monkeypatch)
 
-        async def one(pacer: Pacer) -> None:
+        async def take_slices(pacer: Pacer) -> None:
             for _ in range(SLICES // 4):
                 await pacer.take(SLICE_BYTES)
 
         async def work() -> None:
             pacer = Pacer(rate_bytes_per_s=lambda: RATE_BYTES_PER_S)
-            await asyncio.gather(*(one(pacer) for _ in range(4)))
+            await asyncio.gather(*(take_slices(pacer) for _ in range(4)))
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(work())
         assert len(sleeps) <= SLICES
 
 
-def _counted_sleeps(monkeypatch) -> list[float]:
+def _count_sleeps(monkeypatch) -> list[float]:
     slept: list[float] = []
     sleep = asyncio.sleep
 
--- a/tests/weights/test_tracker.py
+++ b/tests/weights/test_tracker.py
@@ -1,4 +1,4 @@
-"""Leases of origin reads: exact, never widened, never given twice."""
+"""Leases of reads from the origin, and assignment of neighbours."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class FakeConnection:
-    """Only what leases look at."""
+    """Connection with only the attribute that leases use."""
 
     def __init__(self) -> None:
         self.closed = asyncio.Event()
 
 
 class TrackerClient:
-    """Asks a tracker directly."""
+    """Calls the handlers of a tracker directly, with a clock that the test sets."""
 
     def __init__(self, monkeypatch) -> None:
         self.now_s = 1_000.0
@@ -43,7 +43,7 @@
         return (await self.tracker._on_lease(request, connection)).unwrap().chunks
 
     async def lease_all(self, server: str, **given) -> list[int]:
-        """Lease until nothing is free."""
+        """Request leases until no chunk is free."""
         taken = []
         while part := await self.lease(f"{server}-{len(taken)}", window=CHUNKS, **given):
             taken += part
@@ -51,8 +51,8 @@
 
     async def join(self, server: str, domain: str = "d") -> list[str]:
         request = SwarmJoin("root", server, f"{server}:1", domain, 0)
-        answer = (await self.tracker._on_join(request, None)).unwrap()
-        return [neighbour.server for neighbour in answer.neighbours]
+        reply = (await self.tracker._on_join(request, None)).unwrap()
+        return [neighbour.server for neighbour in reply.neighbours]
 
 
 @pytest.fixture
@@ -61,13 +61,13 @@
 
 
 class TestLeases:
-    async def test_no_chunk_is_given_twice(self, client):
+    async def test_no_chunk_is_leased_twice(self, client):
         given = []
         for number in range(40):
             given += await client.lease(f"s{number}")
         assert sorted(given) == list(range(CHUNKS))
 
-    async def test_nobody_has_many_unread_while_others_have_none(self, client):
+    async def test_participant_never_has_more_unread_chunks_than_its_share(self, client):
         for number in range(5):
             await client.join(f"s{number}")
         first = await client.lease("s0", window=16)
@@ -75,44 +75,44 @@
         assert await client.lease("s0", window=16) == []
         assert len(await client.lease("s0", window=16, done=first)) == 2
 
-    async def test_nothing_free_is_an_empty_answer_at_once(self, client):
+    async def test_reply_is_empty_if_no_chunk_is_free(self, client):
         await client.lease_all("a")
         assert await client.lease("b") == []
 
-    async def test_a_dead_holder_s_lease_runs_out(self, client):
+    async def test_lease_of_a_dead_holder_expires(self, client):
         first = await client.lease_all("a")
         client.now_s += LEASE_VALID_S + 0.1
         assert sorted(await client.lease_all("b")) == sorted(first)
 
-    async def test_a_lost_holder_s_lease_ends_at_once(self, client):
+    async def test_lease_ends_when_its_holder_disconnects(self, client):
         first = await client.lease("a")
         client.connections["a"].closed.set()
         assert set(first) <= set(await client.lease_all("b"))
 
-    async def test_what_a_requester_holds_is_not_leased(self, client):
+    async def test_chunks_that_the_requester_holds_are_not_leased(self, client):
         given = await client.lease_all("a", held=range(15))
         assert sorted(given) == list(range(15, CHUNKS))
 
-    async def test_a_chunk_that_nobody_can_give_is_leased_again(self, client):
+    async def test_stuck_chunk_is_leased_again(self, client):
         given = await client.lease_all("a")
         await client.lease("a", done=given)
         assert await client.lease("b") == []
         assert await client.lease("b", stuck=[3]) == [3]
 
-    async def test_stuck_chunks_in_somebody_s_lease_stay_there(self, client):
+    async def test_stuck_chunk_with_a_lease_is_not_leased_again(self, client):
         await client.lease_all("a")
         assert await client.lease("b", stuck=[3]) == []
 
-    async def test_a_new_tracker_learns_from_the_requests(self, client):
+    async def test_new_tracker_learns_held_chunks_from_requests(self, client):
         given = await client.lease("a", window=4, held=[0, 1, 2], done=[3])
         assert not set(given) & {0, 1, 2, 3}
 
 
 class TestNeighbours:
-    async def test_the_first_joiner_has_none(self, client):
+    async def test_first_participant_has_no_neighbours(self, client):
         assert await client.join("a") == []
 
-    async def test_are_bounded_and_mostly_inside(self, client):
+    async def test_neighbours_are_bounded_and_mostly_local(self, client):
         for number in range(30):
             await client.join(f"in-{number}")
             await client.join(f"out-{number}", "far")
@@ -120,7 +120,7 @@
         inside = [server for server in found if server.startswith("in-")]
         assert (len(found), len(inside)) == (9, 6)
 
-    async def test_the_silent_are_forgotten(self, client):
+    async def test_silent_participants_expire(self, client):
         await client.join("a")
         client.now_s += tracker_module.PARTICIPANT_VALID_S + 0.1
         assert await client.join("b") == []
