--- a/src/leadhollow/bench/table_costs.py
+++ b/src/leadhollow/bench/table_costs.py
@@ -20,7 +20,7 @@
 from leadhollow.routing.model import CallKind, Route, RouteTable, ServiceRecord, Target
 from leadhollow.state.catalog import Catalog, encode_item
 from leadhollow.state.machine import StateMachine
-from leadhollow.state.route_tables import replacement
+from leadhollow.state.route_tables import replacement_command
 
 Value = TypeVar("Value")
 
@@ -85,7 +85,7 @@
     catalog = Catalog()
     index = RouteIndex(catalog=catalog)
     machine = StateMachine()
-    machine.apply(1, replacement(_table(1, {n: _route(n) for n in range(size)}), b"{}"))
+    machine.apply(1, replacement_command(_table(1, {n: _route(n) for n in range(size)}), b"{}"))
     catalog.apply(machine.catalog.items_after(0), revision=1)
     return index
 
@@ -113,13 +113,13 @@
     follower = Catalog()
     index = RouteIndex(catalog=follower)
     routes = {number: _route(number) for number in range(size)}
-    machine.apply(1, replacement(_table(1, routes), b"{}"))
+    machine.apply(1, replacement_command(_table(1, routes), b"{}"))
     follower.apply(machine.catalog.items_after(0), revision=1)
     times: dict[str, list[float]] = {name: [] for name in ("replica", "gather", "entry")}
     change_bytes = 0
     for turn in range(2, ROUNDS + 2):
         routes[turn] = _route(turn, timeout_ms=1_000 + turn)
-        command = replacement(_table(turn, routes), b"{}")
+        command = replacement_command(_table(turn, routes), b"{}")
         _, took_us = timed(partial(machine.apply, turn, command))
         times["replica"].append(took_us)
         items, took_us = timed(partial(machine.catalog.items_after, turn - 1))
@@ -155,7 +155,7 @@
     for turn in range(1, CHANGES + 1):
         del routes[turn - 1]
         routes[size + turn - 1] = _route(size + turn - 1)
-        machine.apply(turn, replacement(_table(turn, routes), b"{}"))
+        machine.apply(turn, replacement_command(_table(turn, routes), b"{}"))
     return TableHistory(
         changes=CHANGES,
         routes=len(routes),
--- a/src/leadhollow/control/control_listener.py
+++ b/src/leadhollow/control/control_listener.py
@@ -27,7 +27,7 @@
 from leadhollow.state.commands import Command, NameVersion
 from leadhollow.state.gateway import LeaderGateway
 from leadhollow.state.replica import Replica
-from leadhollow.state.route_tables import replacement
+from leadhollow.state.route_tables import replacement_command
 
 COMMIT_TIMEOUT_S = 0.9  # clients of operators try another replica after 1 s
 CONFIRM_TIMEOUT_S = 0.8
@@ -88,7 +88,7 @@
     async def _execute(self, request: ControlRequest) -> ControlResponse:
         match request:
             case PutRouteTable():
-                command = replacement(request.table, request.source)
+                command = replacement_command(request.table, request.source)
                 return await self._propose(command, what="route table", number=request.table.number)
             case NameWeightsVersion():
                 return await self._propose(
--- a/src/leadhollow/control/replica_service.py
+++ b/src/leadhollow/control/replica_service.py
@@ -18,10 +18,10 @@
 from leadhollow.settings.node import NodeSettings
 from leadhollow.state.gateway import LeaderGateway
 from leadhollow.state.identity import load_identity, seed_voter
-from leadhollow.state.joining import Joining
+from leadhollow.state.join_service import JoinService
 from leadhollow.state.log_store import LogStore
 from leadhollow.state.replica import Replica, ReplicaRole
-from leadhollow.state.roster import RosterKeeper
+from leadhollow.state.voter_manager import VoterManager
 from leadhollow.state.voters import Voter
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
@@ -52,8 +52,8 @@
         self._peers = peers
         self._handlers = handlers
         self._seeds = settings.seed_wire_addresses
-        self._joining: Joining | None = None
-        self._roster: RosterKeeper | None = None
+        self._joining: JoinService | None = None
+        self._roster: VoterManager | None = None
         self.directory = ReplicaDirectory(clock=_directory_clock_s)
         self.replica: Replica
         self.gateway: LeaderGateway
@@ -98,7 +98,7 @@
     async def drain(self) -> None:
         """Hand leadership over to another replica before this one stops."""
         if self.replica.role is ReplicaRole.LEADER:
-            handed_over = await self.replica.leadership.hand_over(HANDOVER_TIMEOUT_S)
+            handed_over = await self.replica.leadership.transfer_leadership(HANDOVER_TIMEOUT_S)
             log.info("leadership handed over", done=handed_over)
 
     async def stop(self) -> None:
@@ -141,15 +141,15 @@
             address=self._settings.wire_address,
             failure_domain=self._settings.failure_domain,
         )
-        self._joining = Joining(
+        self._joining = JoinService(
             replica=self.replica,
             own=own,
-            known=self._known_addresses,
+            known_addresses=self._known_addresses,
             peers=self._peers,
             handlers=self._handlers,
         )
         wanted = 2 * self._settings.tolerated_losses + 1
-        self._roster = RosterKeeper(replica=self.replica, wanted=wanted)
+        self._roster = VoterManager(replica=self.replica, voter_count=wanted)
         await self._joining.start()
         await self._roster.start()
         return Ok(None)
--- a/src/leadhollow/control/suspect_relay.py
+++ b/src/leadhollow/control/suspect_relay.py
@@ -106,7 +106,7 @@
         await super().stop()
         if self._saving is not None:
             await asyncio.wait([self._saving])
-        await self._disk.end()
+        await self._disk.stop()
 
     def on_change(self, listener: Callable[[SuspectChanges], None]) -> None:
         """Register a listener that gets each change of the table."""
--- a/src/leadhollow/process.py
+++ b/src/leadhollow/process.py
@@ -102,10 +102,10 @@
         return StateService(settings=self.settings, peers=self.peers, handlers=self.handlers)
 
     def _make_operators(self) -> Service:
-        from leadhollow.state.operators import OperatorHttp
+        from leadhollow.state.operator_server import OperatorHttpServer
         from leadhollow.state.service import StateService
 
-        return OperatorHttp(
+        return OperatorHttpServer(
             settings=self.settings,
             service=self.kernel.get("state", StateService),
             state=self.state_client,
--- a/src/leadhollow/state/client.py
+++ b/src/leadhollow/state/client.py
@@ -19,7 +19,7 @@
 _NOTHING_WRITTEN = (Code.NOT_LEADER, Code.NO_MAJORITY)
 
 
-class Proposed:
+class ProposalReply:
     """Answer to a proposal, with its place in the log."""
 
     __slots__ = ("answer", "index")
@@ -59,7 +59,7 @@
         answer = decode_answer(reply.unwrap().answer)
         if answer.is_err():
             return Err(answer.unwrap_err())
-        return Ok(Proposed(answer=answer.unwrap(), index=reply.unwrap().index))
+        return Ok(ProposalReply(answer=answer.unwrap(), index=reply.unwrap().index))
 
     async def renew_lease(
         self, *, name: str, holder: str, fence: int, timeout_ms: float
@@ -99,4 +99,4 @@
     return Failure(code=Code.EDIT_UNKNOWN if may_be_written else Code.NO_MAJORITY)
 
 
-__all__ = ["Proposed", "StateClient"]
+__all__ = ["ProposalReply", "StateClient"]
--- a/src/leadhollow/state/disk_thread.py
+++ b/src/leadhollow/state/disk_thread.py
@@ -36,18 +36,18 @@
         self._pending += 1
         if self._busy_since_s is None:
             self._busy_since_s = active_time.active_s()
-        running.add_done_callback(self._done)
+        running.add_done_callback(self._on_done)
         try:
             return await asyncio.shield(running)
         except asyncio.CancelledError:
             await asyncio.wait([running])
             raise
 
-    def _done(self, running: asyncio.Future[DiskAnswer]) -> None:
+    def _on_done(self, running: asyncio.Future[DiskAnswer]) -> None:
         self._pending -= 1
         self._busy_since_s = active_time.active_s() if self._pending else None
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         """Wait for the work in progress while the loop goes on, and end the thread."""
         if self._pending:
             await self.run(_nothing)
--- a/src/leadhollow/state/reach.py
+++ b/src/leadhollow/state/domain_revisions.py
@@ -9,7 +9,7 @@
 REPORT_VALID_S = 5.0
 
 
-class DomainReach:
+class DomainReport:
     """Last report of one failure domain."""
 
     __slots__ = ("received_s", "report")
@@ -24,25 +24,25 @@
         return int(self.report.revision or 0)
 
 
-class Reach:
+class DomainRevisions:
     """Applied revisions by failure domain and reporting replica."""
 
     __slots__ = ("_reports",)
 
     def __init__(self) -> None:
-        self._reports: dict[str, DomainReach] = {}
+        self._reports: dict[str, DomainReport] = {}
 
     def note(self, report: DomainApplied) -> None:
         """Take a report."""
-        self._reports[report.failure_domain] = DomainReach(
+        self._reports[report.failure_domain] = DomainReport(
             report=report, received_s=asyncio.get_running_loop().time()
         )
 
-    def domains(self) -> dict[str, DomainReach]:
+    def domains(self) -> dict[str, DomainReport]:
         """Give the last report of each failure domain that ever reported."""
         return dict(self._reports)
 
-    def reachable(self, reach: DomainReach) -> bool:
+    def reachable(self, reach: DomainReport) -> bool:
         """Tell whether a report is recent enough to count its domain as connected."""
         return asyncio.get_running_loop().time() - reach.received_s < REPORT_VALID_S
 
@@ -62,4 +62,4 @@
         return done, domains - done
 
 
-__all__ = ["DomainReach", "Reach"]
+__all__ = ["DomainReach", "DomainRevisions"]
--- a/src/leadhollow/state/election.py
+++ b/src/leadhollow/state/election.py
@@ -17,8 +17,8 @@
 from leadhollow.wire.connection import Connection
 from leadhollow.wire.generated.ttypes import Done, StandNow, StateProbe, VoteRequest
 
-LONGEST_TIMEOUT_FACTOR = 1.8
-FIRST_ASK_S = (
+MAX_TIMEOUT_FACTOR = 1.8
+ELECTION_PROBE_INTERVAL_S = (
     0.05  # an answer takes a few milliseconds; replicas that start together differ by more
 )
 
@@ -41,7 +41,7 @@
         self._leadership = leadership
         self._random = random.Random(seed)
 
-    async def watch(self, *, fresh: bool) -> None:
+    async def run(self, *, fresh: bool) -> None:
         """Watch for as long as the replica runs.
 
         Parameters
@@ -50,41 +50,48 @@
             Whether our disk was empty when we started.
         """
         state = self._state
-        if fresh and state.named:
-            await self._join_or_begin()
+        if fresh and state.fixed_voters:
+            await self._initialise_empty_disk()
         elif fresh:
             await state.save_vote(Vote(term=0, voted_for="", voter=True))
-        await self._find_first_leader()
+        await self._hold_first_election()
         while True:
-            factor = self._random.uniform(1.0, LONGEST_TIMEOUT_FACTOR)
+            factor = self._random.uniform(1.0, MAX_TIMEOUT_FACTOR)
             timeout_s = state.election_timeout_s * factor
             await active_time.active_sleep(timeout_s / 4)
             if state.role is ReplicaRole.LEADER:
-                self._leadership.check(timeout_s)
+                self._leadership.check_quorum(timeout_s)
                 continue
             if state.failed:
                 await state.recover()
                 continue
-            if active_time.active_s() - state.heard_s < timeout_s or not self._may_stand():
+            if (
+                active_time.active_s() - state.election_timer_reset_s < timeout_s
+                or not self._may_campaign()
+            ):
                 continue
-            await self._stand()
+            await self._campaign()
 
     async def on_stand_now(
         self, request: StandNow, connection: Connection
     ) -> Result[Done, Failure]:
         """Stand at once, because the leader is about to stop."""
         state = self._state
-        if request.term == state.term and request.leader == state.leader_vm and self._may_stand():
+        if (
+            request.term == state.term
+            and request.leader == state.leader_vm
+            and self._may_campaign()
+        ):
             log.info("standing on the leader's word", replica=state.vm, leader=request.leader)
-            await self._stand(transfer=True)
+            await self._campaign(transfer=True)
         return Ok(Done())
 
-    def _may_stand(self) -> bool:
+    def _may_campaign(self) -> bool:
         state = self._state
         healthy = not state.failed and state.disk.busy_s < DISK_STALL_S
         return healthy and state.is_voter and state.vote.voter
 
-    async def _join_or_begin(self) -> None:
+    async def _initialise_empty_disk(self) -> None:
         """Find out whether all replicas are new, or ours alone lost its disk."""
         state = self._state
         while state.store.vote is None:
@@ -98,13 +105,13 @@
             answers = [reply.unwrap() for reply in replies if reply.is_ok()]
             all_new = all(answer.blank or answer.term <= 1 for answer in answers)
             if len(answers) == len(state.others) and all_new:
-                await state.steps.run(self._begin)
+                await state.transitions.run(self._initialise_vote)
                 return
             if any(not answer.blank for answer in answers):
                 log.warning("this replica's disk is empty, it learns before it votes")
             await asyncio.sleep(state.timing.heartbeat_ms / 1000)
 
-    async def _find_first_leader(self) -> None:
+    async def _hold_first_election(self) -> None:
         """Stand at once where every voter has just started too, so that nobody can lead.
 
         A voter that has restarted may have forgotten a leader whose lease still counts on its
@@ -118,15 +125,15 @@
             if state.leader_vm or state.role is not ReplicaRole.FOLLOWER:
                 return
             term = state.term
-            if self._may_stand() and await self._nobody_leads():
+            if self._may_campaign() and await self._no_leader_known():
                 unchanged = state.term == term and not state.leader_vm
                 if unchanged and state.role is ReplicaRole.FOLLOWER:
                     log.info("no voter knows a leader", replica=state.vm, term=term)
-                    await self._stand(transfer=True)
+                    await self._campaign(transfer=True)
                 return
-            await asyncio.sleep(FIRST_ASK_S)
+            await asyncio.sleep(ELECTION_PROBE_INTERVAL_S)
 
-    async def _nobody_leads(self) -> bool:
+    async def _no_leader_known(self) -> bool:
         """Tell whether all voters answer, know no leader, and hold no longer log than ours.
 
         One with an empty disk has lost its vote, and cannot lead: what led at its address is gone.
@@ -151,30 +158,30 @@
                 return False
         return able >= quorum_size(len(others) + 1)
 
-    async def _begin(self) -> None:
+    async def _initialise_vote(self) -> None:
         state = self._state
         if state.store.vote is None:
             log.info("all replicas are new, state begins")
             await state.save_vote(Vote(term=1, voted_for="", voter=True))
 
-    async def _stand(self, *, transfer: bool = False) -> None:
+    async def _campaign(self, *, transfer: bool = False) -> None:
         state = self._state
-        if not transfer and not await self._gather_votes(state.term + 1, pre_vote=True):
-            state.heard_s = active_time.active_s()
+        if not transfer and not await self._request_votes(state.term + 1, pre_vote=True):
+            state.election_timer_reset_s = active_time.active_s()
             return
-        term = await state.steps.run(lambda: self._vote_for_ourselves(transfer=transfer))
+        term = await state.transitions.run(lambda: self._start_candidacy(transfer=transfer))
         if term is None:
             return
-        won = await self._gather_votes(term, pre_vote=False, transfer=transfer)
+        won = await self._request_votes(term, pre_vote=False, transfer=transfer)
         if won and state.term == term and state.role is ReplicaRole.CANDIDATE:
-            self._leadership.begin()
+            self._leadership.start()
         else:
-            state.heard_s = active_time.active_s()
+            state.election_timer_reset_s = active_time.active_s()
 
-    async def _vote_for_ourselves(self, *, transfer: bool) -> int | None:
+    async def _start_candidacy(self, *, transfer: bool) -> int | None:
         """Begin a term as its candidate; None where somebody leads or the disk fails."""
         state = self._state
-        heard = state.leader_heard_lately() and not transfer
+        heard = state.leader_heard_recently() and not transfer
         if heard or state.role is ReplicaRole.LEADER:
             return None
         term = state.term + 1
@@ -184,7 +191,7 @@
         state.leader_vm = ""
         return term
 
-    async def _gather_votes(self, term: int, *, pre_vote: bool, transfer: bool = False) -> bool:
+    async def _request_votes(self, term: int, *, pre_vote: bool, transfer: bool = False) -> bool:
         state = self._state
         store = state.store
         needed = quorum_size(len(state.voters.current)) - 1
@@ -212,7 +219,7 @@
                     continue
                 answer = reply.unwrap()
                 if answer.term > term:
-                    await state.learn_term(answer.term)
+                    await state.adopt_term(answer.term)
                     return False
                 granted += 1 if answer.granted else 0
                 if granted >= needed:
--- a/src/leadhollow/state/files.py
+++ b/src/leadhollow/state/files.py
@@ -12,17 +12,17 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 
-RECORD_HEAD = struct.Struct(">II")  # length of the payload, CRC-32 of it
+RECORD_HEADER = struct.Struct(">II")  # length of the payload, CRC-32 of it
 FILE_MAGIC = b"LHF1"
-MAXIMUM_RECORD_BYTES = 64 * 1024 * 1024
+MAX_RECORD_BYTES = 64 * 1024 * 1024
 
 
 def pack_record(payload: bytes) -> bytes:
     """Put length and checksum before a payload."""
-    return RECORD_HEAD.pack(len(payload), zlib.crc32(payload)) + payload
+    return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def record_at(data: bytes | memoryview, offset: int) -> bytes | None:
+def read_record(data: bytes | memoryview, offset: int) -> bytes | None:
     """Read the record at an offset.
 
     Returns
@@ -30,20 +30,20 @@
     bytes or None
         The payload, or None where no whole, undamaged record stands.
     """
-    if offset + RECORD_HEAD.size > len(data):
+    if offset + RECORD_HEADER.size > len(data):
         return None
-    length, checksum = RECORD_HEAD.unpack_from(data, offset)
-    start = offset + RECORD_HEAD.size
-    if not 0 < length <= MAXIMUM_RECORD_BYTES or start + length > len(data):
+    length, checksum = RECORD_HEADER.unpack_from(data, offset)
+    start = offset + RECORD_HEADER.size
+    if not 0 < length <= MAX_RECORD_BYTES or start + length > len(data):
         return None
     payload = bytes(data[start : start + length])
     return payload if zlib.crc32(payload) == checksum else None
 
 
-def record_follows(data: bytes | memoryview, offset: int) -> bool:
+def has_record_after(data: bytes | memoryview, offset: int) -> bool:
     """Tell whether any whole record stands after an offset where one is damaged."""
     view = memoryview(data)
-    return any(record_at(view, position) is not None for position in range(offset + 1, len(data)))
+    return any(read_record(view, position) is not None for position in range(offset + 1, len(data)))
 
 
 def replace_file(path: Path, payload: bytes) -> Result[None, Failure]:
@@ -86,8 +86,8 @@
         return Ok(None)
     except OSError as error:
         return Err(Failure(code=Code.DISK_FAILED, detail=f"{path.name}: {error}"))
-    payload = record_at(data, len(FILE_MAGIC)) if data.startswith(FILE_MAGIC) else None
-    if payload is None or len(FILE_MAGIC) + RECORD_HEAD.size + len(payload) != len(data):
+    payload = read_record(data, len(FILE_MAGIC)) if data.startswith(FILE_MAGIC) else None
+    if payload is None or len(FILE_MAGIC) + RECORD_HEADER.size + len(payload) != len(data):
         return Err(Failure(code=Code.SNAPSHOT_DAMAGED, detail=f"{path.name} is damaged"))
     return Ok(payload)
 
--- a/src/leadhollow/state/following.py
+++ b/src/leadhollow/state/following.py
@@ -27,7 +27,7 @@
 log = get_logger("state")
 
 
-class Following:
+class FollowerHandlers:
     """Handlers of one replica."""
 
     __slots__ = ("_caught_up_target", "_leadership", "_state")
@@ -48,7 +48,7 @@
         self, request: StateProbe, connection: Connection
     ) -> Result[StateProbeReply, Failure]:
         state = self._state
-        blank = state.store.blank
+        blank = state.store.never_used
         return Ok(StateProbeReply(blank, state.term, state.leader_vm, state.store.last_index))
 
     async def _on_vote(
@@ -59,7 +59,7 @@
             return Err(Failure(code=Code.REPLICA_OTHER))
         if state.failed or state.store.vote is None:
             return Ok(VoteReply(state.term, False))
-        return Ok(await state.steps.run(lambda: self._answer_vote(request)))
+        return Ok(await state.transitions.run(lambda: self._answer_vote(request)))
 
     async def _answer_vote(self, request: VoteRequest) -> VoteReply:
         state = self._state
@@ -70,7 +70,7 @@
         vote = Vote(term=request.term, voted_for=request.candidate, voter=True)
         if not await state.save_vote(vote):
             return VoteReply(state.term, False)
-        state.heard_s = active_time.active_s()
+        state.election_timer_reset_s = active_time.active_s()
         return VoteReply(request.term, True)
 
     def _meant_for_another(self, replica: str | None) -> bool:
@@ -84,7 +84,7 @@
         elif state.role is ReplicaRole.LEADER:
             leader_heard = self._leadership.lease_valid()
         else:
-            leader_heard = state.leader_heard_lately()
+            leader_heard = state.leader_heard_recently()
         return may_grant_vote(
             request_term=request.term,
             own_term=state.term,
@@ -108,7 +108,7 @@
             return Err(Failure(code=Code.REPLICA_OTHER))
         if state.failed:
             return Err(Failure(code=Code.DISK_FAILED))
-        return await state.steps.run(lambda: self._append(request))
+        return await state.transitions.run(lambda: self._append(request))
 
     async def _append(self, request: AppendRequest) -> Result[AppendReply, Failure]:
         state = self._state
@@ -135,7 +135,7 @@
         state = self._state
         if self._meant_for_another(request.replica):
             return Err(Failure(code=Code.REPLICA_OTHER))
-        return await state.steps.run(lambda: self._take_snapshot(request))
+        return await state.transitions.run(lambda: self._take_snapshot(request))
 
     async def _take_snapshot(self, request: SnapshotRequest) -> Result[AppendReply, Failure]:
         state = self._state
@@ -152,8 +152,8 @@
             if saved.is_err():
                 return Err(state.fail(saved.unwrap_err()))
             state.machine.restore(request.data)
-            state.note_snapshot(snapshot)
-            state.note_entries(state.store.entries)
+            state.restore_voters(snapshot)
+            state.apply_voter_changes(state.store.entries)
             state.commit_index = max(state.commit_index, request.last_index)
             state.applied_index = request.last_index
         return Ok(AppendReply(state.term, True, request.last_index))
@@ -169,7 +169,7 @@
                 return False
         if state.role is not ReplicaRole.FOLLOWER or state.leader_vm != leader:
             state.become_follower(leader)
-        state.heard_s = active_time.active_s()
+        state.election_timer_reset_s = active_time.active_s()
         state.leader_heard_s = now_s()
         return True
 
@@ -191,7 +191,7 @@
             if cut.is_err():
                 self._state.fail(cut.unwrap_err())
                 return False
-            self._state.note_cut(index)
+            self._state.revert_voter_changes(index)
         missing = [entry for entry in offered if entry.index > store.last_index]
         if not missing:
             return True
@@ -199,7 +199,7 @@
         if written.is_err():
             self._state.fail(written.unwrap_err())
             return False
-        self._state.note_entries(missing)
+        self._state.apply_voter_changes(missing)
         return True
 
     async def _maybe_become_voter(self, leader_commit: int, matched: int) -> None:
@@ -215,4 +215,4 @@
             await state.save_vote(Vote(term=state.term, voted_for=VOTE_BLOCKED, voter=True))
 
 
-__all__ = ["Following"]
+__all__ = ["FollowerHandlers"]
--- a/src/leadhollow/state/gateway.py
+++ b/src/leadhollow/state/gateway.py
@@ -22,7 +22,7 @@
 from leadhollow.wire.peers import PeerPool
 
 RETRY_PAUSE_S = 0.03
-ROUND_TIMEOUT_S = 0.5
+ROUND_TRIP_TIMEOUT_S = 0.5
 APPLY_POLL_S = 0.005
 
 
@@ -126,9 +126,9 @@
             return Err(Failure(code=Code.EDIT_UNKNOWN, detail="no majority answered in time"))
 
     async def _read_index(self, left_s: float) -> int | None:
-        timeout_s = min(left_s, ROUND_TIMEOUT_S)
+        timeout_s = min(left_s, ROUND_TRIP_TIMEOUT_S)
         if self._replica.role is ReplicaRole.LEADER:
-            confirmed = await self._replica.leadership.confirm_round(timeout_s)
+            confirmed = await self._replica.leadership.confirm_leadership(timeout_s)
             return confirmed.unwrap() if confirmed.is_ok() else None
         leader = self.leader_address()
         if leader is None:
@@ -152,7 +152,7 @@
     async def _on_read_index(
         self, request: ReadIndexRequest, connection: Connection
     ) -> Result[ReadIndexReply, Failure]:
-        confirmed = await self._replica.leadership.confirm_round(ROUND_TIMEOUT_S)
+        confirmed = await self._replica.leadership.confirm_leadership(ROUND_TRIP_TIMEOUT_S)
         if confirmed.is_err():
             return Err(confirmed.unwrap_err())
         return Ok(ReadIndexReply(confirmed.unwrap()))
--- a/src/leadhollow/state/joining.py
+++ b/src/leadhollow/state/join_service.py
@@ -18,14 +18,14 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
 
-ASK_INTERVAL_S = 0.4
-ASK_TIMEOUT_MS = 800
-UNHEARD_S = 1.0  # a voter hears from its leader several times in it
+JOIN_INTERVAL_S = 0.4
+JOIN_TIMEOUT_MS = 800
+LEADER_SILENT_S = 1.0  # a voter hears from its leader several times in it
 
 log = get_logger("joining")
 
 
-class Joining(TaskService):
+class JoinService(TaskService):
     """Asks for a place among the replicas for as long as ours gets nothing of the log.
 
     Parameters
@@ -36,43 +36,43 @@
         Gives addresses at which replicas may be found.
     """
 
-    __slots__ = ("_known", "_own", "_peers", "_replica")
+    __slots__ = ("_known_addresses", "_own", "_peers", "_replica")
 
     def __init__(
         self,
         *,
         replica: Replica,
         own: Voter,
-        known: Callable[[], list[str]],
+        known_addresses: Callable[[], list[str]],
         peers: PeerPool,
         handlers: HandlerTable,
     ) -> None:
         self._replica = replica
         self._own = own
-        self._known = known
+        self._known_addresses = known_addresses
         self._peers = peers
         super().__init__()
         handlers.on_call(JoinRequest, self._on_join)
 
     async def _work(self) -> None:
         while True:
-            await asyncio.sleep(ASK_INTERVAL_S * random.uniform(0.5, 1.0))
-            if self._needs_place():
-                await self._ask()
+            await asyncio.sleep(JOIN_INTERVAL_S * random.uniform(0.5, 1.0))
+            if self._needs_leader():
+                await self._request_join()
 
-    def _needs_place(self) -> bool:
+    def _needs_leader(self) -> bool:
         """Tell whether nobody sends us the log: we vote no more, perhaps without knowing it."""
         if self._own.replica not in self._replica.voters:
             return True
-        return self._replica.leader_silence_s > UNHEARD_S
+        return self._replica.leader_silence_s > LEADER_SILENT_S
 
-    async def _ask(self) -> None:
+    async def _request_join(self) -> None:
         request = JoinRequest(self._own.replica, self._own.address, self._own.failure_domain)
         leaders: list[str] = []
-        for address in self._known():
+        for address in self._known_addresses():
             if address == self._own.address:
                 continue
-            reply = await self._peers.call(address, request, timeout_ms=ASK_TIMEOUT_MS)
+            reply = await self._peers.call(address, request, timeout_ms=JOIN_TIMEOUT_MS)
             if reply.is_err():
                 continue
             leader = reply.unwrap().leader_address
@@ -81,7 +81,7 @@
             if leader == address:
                 return
         for address in dict.fromkeys(leaders):
-            await self._peers.call(address, request, timeout_ms=ASK_TIMEOUT_MS)
+            await self._peers.call(address, request, timeout_ms=JOIN_TIMEOUT_MS)
 
     async def _on_join(
         self, request: JoinRequest, connection: Connection
@@ -94,7 +94,7 @@
         )
         leads = replica.role is ReplicaRole.LEADER
         if leads:
-            replica.leadership.learn(peer)
+            replica.leadership.add_learner(peer)
         voters = replica.voters
         leader = next(
             (voter.address for voter in voters.voters if voter.replica == replica.leader_vm), ""
--- a/src/leadhollow/state/leadership.py
+++ b/src/leadhollow/state/leadership.py
@@ -16,12 +16,12 @@
 from leadhollow.state.log_store import Entry
 from leadhollow.state.replica_state import (
     CALL_TIMEOUT_MS,
-    Applied,
+    AppliedCommand,
     ReplicaRole,
     ReplicaState,
-    answer_proposal,
     now_s,
-    spawn,
+    resolve_proposal,
+    start_task,
 )
 from leadhollow.state.rules import committed_index, majority_index, quorum_size
 from leadhollow.state.voters import ChangeVoters, Voter
@@ -34,7 +34,7 @@
 )
 
 ENTRIES_PER_APPEND = 256
-LEARNER_FORGOTTEN_S = 10.0  # a learner that asks no more is not replicated to
+LEARNER_TIMEOUT_S = 10.0  # a learner that asks no more is not replicated to
 DISK_STALL_S = 0.4  # far above any sync seen (0.5 ms, 12 ms on a slow disk)
 
 log = get_logger("state")
@@ -48,7 +48,7 @@
         self.done = done
 
 
-class Follower:
+class FollowerProgress:
     """What a leader knows of another replica.
 
     Parameters
@@ -91,9 +91,9 @@
 
     __slots__ = (
         "_followers",
-        "_heard_since_s",
+        "_active_since_s",
         "_proposals",
-        "_round_waiters",
+        "_confirmations",
         "_state",
         "_tasks",
         "_transferring",
@@ -106,15 +106,15 @@
         self._state = state
         self._followers: dict[str, Follower] = {}
         self._proposals: list[_Proposal] = []
-        self._round_waiters: list[tuple[float, asyncio.Future[bool]]] = []
+        self._confirmations: list[tuple[float, asyncio.Future[bool]]] = []
         self._wake_writer = asyncio.Event()
         self._wake_followers = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._transferring = False
         self.since_s = 0.0
-        self._heard_since_s = 0.0  # the same by the heard clock
-        state.on_step_down(self.end)
-        state.on_voters_changed(self.match_followers)
+        self._active_since_s = 0.0  # the same by the heard clock
+        state.on_step_down(self.stop)
+        state.on_voters_changed(self.sync_followers)
 
     def lease_valid(self) -> bool:
         """Tell whether we lead and no other replica can have been elected yet."""
@@ -123,7 +123,7 @@
             return False
         return now_s() < self._majority_acknowledged_s() + state.election_timeout_s
 
-    def check(self, timeout_s: float) -> None:
+    def check_quorum(self, timeout_s: float) -> None:
         """Step down where no majority has answered for long, or our own disk hangs.
 
         Being held up ends the lease; that nobody answers is judged by the time we could hear.
@@ -135,7 +135,7 @@
         elif not state.is_voter and state.commit_index >= state.voters.current.index:
             log.info("leader steps down, it votes no more", term=state.term)
             state.become_follower("")
-        elif not self.lease_valid() and self._unanswered(timeout_s):
+        elif not self.lease_valid() and self._majority_silent(timeout_s):
             log.warning("leader steps down, no majority answers", term=state.term)
             state.become_follower("")
 
@@ -153,7 +153,7 @@
             return Err(Failure(code=Code.NOT_LEADER))
         return await self._enqueue(command)
 
-    async def confirm_round(self, timeout_s: float) -> Result[int, Failure]:
+    async def confirm_leadership(self, timeout_s: float) -> Result[int, Failure]:
         """Make sure that we still lead by a round trip to a majority that begins now.
 
         Returns
@@ -176,8 +176,8 @@
             return Err(Failure(code=Code.NOT_LEADER, detail="the term has not begun yet"))
         asked_s = now_s()
         confirmed: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._round_waiters.append((asked_s, confirmed))
-        self._answer_rounds()
+        self._confirmations.append((asked_s, confirmed))
+        self._resolve_confirmations()
         self._wake_all_followers()
         try:
             async with active_timeout(timeout_s):
@@ -186,7 +186,7 @@
             return Err(Failure(code=Code.NO_MAJORITY))
         return Ok(index) if leads else Err(Failure(code=Code.NOT_LEADER))
 
-    def learn(self, peer: Voter) -> None:
+    def add_learner(self, peer: Voter) -> None:
         """Replicate to a replica that is no voter (yet) for as long as it keeps asking."""
         if self._state.role is not ReplicaRole.LEADER or peer.replica == self._state.vm:
             return
@@ -204,9 +204,9 @@
         """Tell for how long a replica has not answered; at most as long as we lead."""
         follower = self._followers.get(replica)
         answered_s = 0.0 if follower is None else follower.answered_s
-        return active_time.active_s() - max(answered_s, self._heard_since_s)
+        return active_time.active_s() - max(answered_s, self._active_since_s)
 
-    async def hand_over(self, timeout_s: float) -> bool:
+    async def transfer_leadership(self, timeout_s: float) -> bool:
         """Let a caught-up voter lead in our place; True once somebody else leads."""
         state = self._state
         if state.role is not ReplicaRole.LEADER:
@@ -215,7 +215,7 @@
         deadline_s = now_s() + timeout_s
         term = state.term
         while now_s() < deadline_s and state.role is ReplicaRole.LEADER:
-            heir = self._heir()
+            heir = self._transfer_target()
             if heir is not None:
                 request = StandNow(term, state.vm)
                 await state.peers.call(heir.address, request, timeout_ms=timeout_s * 1000)
@@ -223,7 +223,7 @@
         self._transferring = False
         return state.role is not ReplicaRole.LEADER
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Lead the current term."""
         state = self._state
         last_index = state.store.last_index
@@ -231,19 +231,19 @@
         state.role = ReplicaRole.LEADER
         state.leader_vm = state.vm
         self.since_s = now_s()
-        self._heard_since_s = active_time.active_s()
+        self._active_since_s = active_time.active_s()
         self._transferring = False
         self._followers = {}
         self._proposals = []
         self._wake_writer = asyncio.Event()
         self._wake_followers = asyncio.Event()
         self._enqueue(TermStart())
-        if not state.named and state.voters.current.index == 0:
+        if not state.fixed_voters and state.voters.current.index == 0:
             self._enqueue(ChangeVoters(voters=state.voters.current.voters))
-        spawn(self._tasks, self._write_proposals(state.term))
-        self.match_followers()
+        start_task(self._tasks, self._write_proposals(state.term))
+        self.sync_followers()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop leading; proposals that were not committed are answered as such."""
         current = asyncio.current_task()
         followers = [follower.task for follower in self._followers.values()]
@@ -253,15 +253,15 @@
         self._tasks = []
         self._followers = {}
         for proposal in self._proposals:
-            answer_proposal(proposal.done, Err(Failure(code=Code.NOT_LEADER)))
+            resolve_proposal(proposal.done, Err(Failure(code=Code.NOT_LEADER)))
         self._proposals = []
-        for done in self._state.waiting.values():
-            answer_proposal(done, Err(Failure(code=Code.EDIT_UNKNOWN)))
-        self._state.waiting = {}
-        for _, confirmed in self._round_waiters:
+        for done in self._state.pending.values():
+            resolve_proposal(done, Err(Failure(code=Code.EDIT_UNKNOWN)))
+        self._state.pending = {}
+        for _, confirmed in self._confirmations:
             if not confirmed.done():
                 confirmed.set_result(False)
-        self._round_waiters = []
+        self._confirmations = []
 
     def _enqueue(self, command: Command) -> asyncio.Future[Result[Applied, Failure]]:
         done: asyncio.Future[Result[Applied, Failure]] = asyncio.get_running_loop().create_future()
@@ -272,14 +272,14 @@
     def _leads(self, term: int) -> bool:
         return self._state.role is ReplicaRole.LEADER and self._state.term == term
 
-    def _heir(self) -> Voter | None:
+    def _transfer_target(self) -> Voter | None:
         for voter in self._state.others:
             follower = self._followers.get(voter.replica)
             if follower is not None and follower.match == self._state.store.last_index:
                 return voter
         return None
 
-    def match_followers(self) -> None:
+    def sync_followers(self) -> None:
         """Replicate to each voter, and end with replicas that are neither voter nor learner."""
         if self._state.role is not ReplicaRole.LEADER:
             return
@@ -287,17 +287,17 @@
             if voter.replica not in self._followers:
                 self._add_follower(voter)
         for replica, follower in list(self._followers.items()):
-            asks = active_time.active_s() - follower.asked_s < LEARNER_FORGOTTEN_S
+            asks = active_time.active_s() - follower.asked_s < LEARNER_TIMEOUT_S
             if replica not in self._state.voters.current and not asks:
                 del self._followers[replica]
                 if follower.task is not None:
                     follower.task.cancel()
 
     def _add_follower(self, peer: Voter) -> Follower:
-        follower = Follower(peer=peer, next_index=self._state.store.last_index + 1)
+        follower = FollowerProgress(peer=peer, next_index=self._state.store.last_index + 1)
         self._followers[peer.replica] = follower
         running: list[asyncio.Task[None]] = []
-        spawn(running, self._replicate(follower, self._state.term))
+        start_task(running, self._replicate(follower, self._state.term))
         follower.task = running[0]
         return follower
 
@@ -307,7 +307,7 @@
         while self._leads(term):
             await self._wake_writer.wait()
             self._wake_writer.clear()
-            if not await state.steps.run(lambda: self._write_batch(term)):
+            if not await state.transitions.run(lambda: self._write_batch(term)):
                 return
             if self._proposals:
                 self._wake_writer.set()
@@ -319,24 +319,24 @@
         state = self._state
         if not self._leads(term):
             return False
-        entries = self._take_batch(term)
+        entries = self._next_batch(term)
         if not entries:
             return True
         written = await state.disk.run(lambda: state.store.append(entries))
         if written.is_err():
             state.fail(written.unwrap_err())
             return False
-        state.note_entries(entries)
+        state.apply_voter_changes(entries)
         return True
 
-    def _take_batch(self, term: int) -> list[Entry]:
+    def _next_batch(self, term: int) -> list[Entry]:
         batch = self._proposals[:ENTRIES_PER_APPEND]
         self._proposals = self._proposals[ENTRIES_PER_APPEND:]
         first = self._state.store.last_index + 1
         entries = []
         for index, proposal in enumerate(batch, start=first):
             entries.append(Entry(index, term, encode(proposal.command)))
-            self._state.waiting[index] = proposal.done
+            self._state.pending[index] = proposal.done
         return entries
 
     def _wake_all_followers(self) -> None:
@@ -353,12 +353,12 @@
                 return
             if reply is not None:
                 if reply.term > term:
-                    await self._state.learn_term(reply.term)
+                    await self._state.adopt_term(reply.term)
                     return
                 follower.acknowledged_s = sent_s
                 follower.answered_s = sent_heard_s
-                self._answer_rounds()
-                self._note_match(follower, reply, term)
+                self._resolve_confirmations()
+                self._update_match(follower, reply, term)
                 if follower.next_index <= self._state.store.last_index:
                     continue
             try:
@@ -401,7 +401,7 @@
         reply = await state.peers.call(address, request, timeout_ms=CALL_TIMEOUT_MS)
         return reply.unwrap() if reply.is_ok() else None
 
-    def _note_match(self, follower: Follower, reply: AppendReply, term: int) -> None:
+    def _update_match(self, follower: Follower, reply: AppendReply, term: int) -> None:
         if not reply.success:
             follower.next_index = max(min(follower.next_index - 1, reply.match_index + 1), 1)
             return
@@ -411,17 +411,17 @@
 
     def _majority_acknowledged_s(self) -> float:
         """Give the time since which a majority of the voters is known to follow us."""
-        return self._majority_s(now_s(), lambda follower: follower.acknowledged_s)
+        return self._majority_time_s(now_s(), lambda follower: follower.acknowledged_s)
 
-    def _unanswered(self, timeout_s: float) -> bool:
+    def _majority_silent(self, timeout_s: float) -> bool:
         """Tell whether a majority was silent for as long as we could have heard it."""
         heard_s = active_time.active_s()
-        if heard_s <= self._heard_since_s + timeout_s:
+        if heard_s <= self._active_since_s + timeout_s:
             return False
-        answered_s = self._majority_s(heard_s, lambda follower: follower.answered_s)
+        answered_s = self._majority_time_s(heard_s, lambda follower: follower.answered_s)
         return self._transferring or heard_s >= answered_s + self._state.election_timeout_s
 
-    def _majority_s(self, own_s: float, told_s: Callable[[Follower], float]) -> float:
+    def _majority_time_s(self, own_s: float, told_s: Callable[[Follower], float]) -> float:
         """Give the latest time that a majority of the voters has reached."""
         state = self._state
         times = [own_s] if state.is_voter else []
@@ -432,19 +432,19 @@
         needed = quorum_size(len(state.voters.current))
         return times[needed - 1] if len(times) >= needed else 0.0
 
-    def _answer_rounds(self) -> None:
-        if not self._round_waiters:
+    def _resolve_confirmations(self) -> None:
+        if not self._confirmations:
             return
         confirmed_s = self._majority_acknowledged_s()
         waiting = []
-        for asked_s, confirmed in self._round_waiters:
+        for asked_s, confirmed in self._confirmations:
             if confirmed.done():
                 continue
             if confirmed_s >= asked_s:
                 confirmed.set_result(True)
             else:
                 waiting.append((asked_s, confirmed))
-        self._round_waiters = waiting
+        self._confirmations = waiting
 
     def _advance_commit(self, term: int) -> None:
         state = self._state
@@ -463,4 +463,4 @@
             self._wake_all_followers()  # followers learn the commit without waiting a heartbeat
 
 
-__all__ = ["Follower", "Leadership"]
+__all__ = ["FollowerProgress", "Leadership"]
--- a/src/leadhollow/state/leases.py
+++ b/src/leadhollow/state/leases.py
@@ -15,7 +15,7 @@
 CLOCK_DRIFT = 1.05  # a VM's clock may run this much faster than another's
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Gives and renews leases while this replica leads.
 
     A renewal costs no log entry. A new leader knows no renewals and waits a whole lease time
@@ -29,7 +29,7 @@
         self._ttl_ms = ttl_ms
         self._renewed_s: dict[str, float] = {}
 
-    async def renew_or_take(
+    async def renew_or_acquire(
         self, *, name: str, holder: str, fence: int
     ) -> Result[LeaseRecord, Failure]:
         """Renew a lease its holder names by fence, or try to take it with fence 0.
@@ -52,13 +52,13 @@
             free_at_s = self._held_since_s(name) + record.ttl_ms / 1000 * CLOCK_DRIFT
             if now_s < free_at_s:
                 return Err(Failure(code=Code.LEASE_HELD, detail=f"{name} is held"))
-        return await self._take(name, holder, 0 if record is None else record.fence)
+        return await self._acquire(name, holder, 0 if record is None else record.fence)
 
     def _held_since_s(self, name: str) -> float:
         since_s = self._replica.leader_since_s
         return max(since_s, self._renewed_s.get(name, since_s))
 
-    async def _take(
+    async def _acquire(
         self, name: str, holder: str, replaced_fence: int
     ) -> Result[LeaseRecord, Failure]:
         command = TakeLease(
--- a/src/leadhollow/state/log_store.py
+++ b/src/leadhollow/state/log_store.py
@@ -15,11 +15,11 @@
 from leadhollow.observe.logs import get_logger
 from leadhollow.state.files import (
     FILE_MAGIC,
-    RECORD_HEAD,
+    RECORD_HEADER,
+    has_record_after,
     pack_record,
     read_file,
-    record_at,
-    record_follows,
+    read_record,
     replace_file,
     sync_folder,
 )
@@ -68,7 +68,7 @@
 _batch_decoder = msgspec.msgpack.Decoder(list[Entry])
 
 
-class _Image:
+class _LogContents:
     """What the disk holds, in memory.
 
     Snapshot and entries belong together: a position in the list counts from the snapshot. They are
@@ -107,27 +107,27 @@
         Where the three files live.
     """
 
-    __slots__ = ("_file", "_folder", "_image", "vote")
+    __slots__ = ("_file", "_folder", "_contents", "vote")
 
     def __init__(self, *, folder: Path) -> None:
         self._folder = folder
         self._file: BinaryIO | None = None
         nothing = Snapshot(last_index=0, last_term=0, data=b"")
-        self._image = _Image(snapshot=nothing, entries=[], offsets=[])
+        self._contents = _LogContents(snapshot=nothing, entries=[], offsets=[])
         self.vote: Vote | None = None
 
     @property
     def entries(self) -> list[Entry]:
         """Entries after the snapshot."""
-        return self._image.entries
+        return self._contents.entries
 
     @property
     def snapshot(self) -> Snapshot:
         """Latest snapshot."""
-        return self._image.snapshot
+        return self._contents.snapshot
 
     @property
-    def blank(self) -> bool:
+    def never_used(self) -> bool:
         """Whether this disk never held a replica."""
         return self.vote is None and not self.entries and not self.snapshot.last_index
 
@@ -139,17 +139,17 @@
     @property
     def last_index(self) -> int:
         """Index of the last entry."""
-        return self._image.last_index
+        return self._contents.last_index
 
     @property
     def last_term(self) -> int:
         """Term of the last entry."""
-        image = self._image
+        image = self._contents
         return image.entries[-1].term if image.entries else image.snapshot.last_term
 
     def term_at(self, index: int) -> int | None:
         """Give the term of an entry, None where it is not held."""
-        image = self._image
+        image = self._contents
         if index == image.snapshot.last_index:
             return image.snapshot.last_term
         entry = image.entry(index)
@@ -157,11 +157,11 @@
 
     def entry(self, index: int) -> Entry | None:
         """Give one entry, None where it is not held."""
-        return self._image.entry(index)
+        return self._contents.entry(index)
 
     def entries_from(self, index: int, *, limit: int) -> list[Entry]:
         """Give up to ``limit`` entries from an index on."""
-        image = self._image
+        image = self._contents
         position = max(0, index - image.snapshot.last_index - 1)
         return image.entries[position : position + limit]
 
@@ -183,7 +183,7 @@
         except OSError as error:
             return Err(Failure(code=Code.DISK_FAILED, detail=str(error)))
         for name in (VOTE_FILE, SNAPSHOT_FILE):
-            loaded = self._load_whole(name)
+            loaded = self._load_file(name)
             if loaded.is_err():
                 return loaded
         return self._load_entries()
@@ -204,13 +204,13 @@
         except OSError as error:
             self._undo_write(start)
             return Err(Failure(code=Code.DISK_FAILED, detail=str(error)))
-        self._image.offsets.extend([start] * len(entries))
-        self._image.entries.extend(entries)
+        self._contents.offsets.extend([start] * len(entries))
+        self._contents.entries.extend(entries)
         return Ok(None)
 
     def truncate_from(self, index: int) -> Result[None, Failure]:
         """Drop this entry and all after it."""
-        image = self._image
+        image = self._contents
         position = index - self.first_index
         if self._file is None or not 0 <= position < len(image.entries):
             return Ok(None)
@@ -249,7 +249,7 @@
 
         What was not synced then is in no state to build on: the kernel may have dropped it.
         """
-        return self._rewrite(list(self._image.entries), self._image.snapshot)
+        return self._rewrite(list(self._contents.entries), self._contents.snapshot)
 
     def close(self) -> None:
         """Close the log's file."""
@@ -257,7 +257,7 @@
             self._file.close()
             self._file = None
 
-    def _load_whole(self, name: str) -> Result[None, Failure]:
+    def _load_file(self, name: str) -> Result[None, Failure]:
         read = read_file(self._folder / name)
         if read.is_err():
             return Err(read.unwrap_err())
@@ -269,7 +269,7 @@
                 self.vote = msgspec.msgpack.decode(payload, type=Vote)
             else:
                 snapshot = msgspec.msgpack.decode(payload, type=Snapshot)
-                self._image = _Image(snapshot=snapshot, entries=[], offsets=[])
+                self._contents = _LogContents(snapshot=snapshot, entries=[], offsets=[])
         except msgspec.MsgspecError as error:
             return Err(Failure(code=Code.SNAPSHOT_DAMAGED, detail=f"{name}: {error}"))
         return Ok(None)
@@ -286,21 +286,21 @@
             return self._rewrite([], self.snapshot)
         offset = len(FILE_MAGIC)
         while offset < len(data):
-            payload = record_at(data, offset)
+            payload = read_record(data, offset)
             if payload is None:
                 break
-            decoded = self._take_loaded(payload, offset)
+            decoded = self._load_record(payload, offset)
             if decoded.is_err():
                 return decoded
-            offset += RECORD_HEAD.size + len(payload)
+            offset += RECORD_HEADER.size + len(payload)
         if offset < len(data):
-            if record_follows(data, offset):
+            if has_record_after(data, offset):
                 detail = f"{LOG_FILE}: damaged record at offset {offset}"
                 return Err(Failure(code=Code.LOG_DAMAGED, detail=detail))
             log.warning("torn tail cut", offset=offset, lost_bytes=len(data) - offset)
         return self._open_at(offset)
 
-    def _take_loaded(self, payload: bytes, offset: int) -> Result[None, Failure]:
+    def _load_record(self, payload: bytes, offset: int) -> Result[None, Failure]:
         try:
             entries = _decode_record(payload)
         except msgspec.MsgspecError as error:
@@ -314,8 +314,8 @@
                     f"{LOG_FILE}: entry {entry.index} after {self.last_index} at offset {offset}"
                 )
                 return Err(Failure(code=Code.LOG_DAMAGED, detail=detail))
-            self._image.offsets.append(offset)
-            self._image.entries.append(entry)
+            self._contents.offsets.append(offset)
+            self._contents.entries.append(entry)
         return Ok(None)
 
     def _open_at(self, offset: int) -> Result[None, Failure]:
@@ -345,7 +345,7 @@
             sync_folder(self._folder)
         except OSError as error:
             return Err(Failure(code=Code.DISK_FAILED, detail=str(error)))
-        self._image = _Image(snapshot=snapshot, entries=kept, offsets=offsets)
+        self._contents = _LogContents(snapshot=snapshot, entries=kept, offsets=offsets)
         return self._open_at(len(content))
 
     def _undo_write(self, offset: int) -> None:
--- a/src/leadhollow/state/machine.py
+++ b/src/leadhollow/state/machine.py
@@ -45,9 +45,9 @@
 from leadhollow.state.row_rules import check_row
 from leadhollow.state.weights_versions import describe_version, name_version
 
-OPERATIONS_KEPT = 10_000
-HISTORY_KEPT = 10_000
-CLAIMS_KEPT = 200_000
+MAX_OPERATIONS = 10_000
+MAX_HISTORY = 10_000
+MAX_CLAIMS = 200_000
 
 Kept = TypeVar("Kept")
 
@@ -188,7 +188,7 @@
             case SetDrain():
                 answer = self._set_drain(index, command, items)
         self._operations[command.operation_id] = _Operation(digest=digest, answer=answer)
-        _forget_oldest(self._operations, OPERATIONS_KEPT)
+        _forget_oldest(self._operations, MAX_OPERATIONS)
         return answer
 
     def _edit_rows(self, index: int, command: EditRows, items: list[CatalogItem]) -> Answer:
@@ -252,7 +252,7 @@
                 after=edit.row,
             )
         )
-        del self._history[:-HISTORY_KEPT]
+        del self._history[:-MAX_HISTORY]
 
     def _publish(self, index: int, command: PublishVersion, items: list[CatalogItem]) -> Answer:
         existing = self.catalog.version(command.model, command.version)
@@ -305,7 +305,7 @@
                 request_id=command.request_id,
                 entry=command.entry,
             )
-            _forget_oldest(self._claims, CLAIMS_KEPT)
+            _forget_oldest(self._claims, MAX_CLAIMS)
             return ClaimAnswer(fresh=True, request_id=command.request_id)
         if existing.digest != command.digest:
             return ClaimAnswer(fresh=False, code=Code.IDEMPOTENCY_KEY_REUSED)
--- a/src/leadhollow/state/operators.py
+++ b/src/leadhollow/state/operator_server.py
@@ -46,7 +46,7 @@
 
 PROPOSE_TIMEOUT_MS = 5_000
 BARRIER_TIMEOUT_MS = 2_000
-REACH_POLL_S = 0.01
+APPLIED_POLL_S = 0.01
 MAXIMUM_WAIT_MS = 60_000
 BODY_LIMIT_BYTES = 8 * 1024 * 1024
 
@@ -56,7 +56,7 @@
 log = get_logger("operators")
 
 
-class OperatorHttp:
+class OperatorHttpServer:
     """Listener for operators on one state VM."""
 
     __slots__ = ("_runner", "_service", "_settings", "_state", "address")
@@ -145,10 +145,10 @@
         request["stale"] = True
 
     async def _applied(self, index: int) -> bool:
-        for _ in range(int(BARRIER_TIMEOUT_MS / 1000 / REACH_POLL_S)):
+        for _ in range(int(BARRIER_TIMEOUT_MS / 1000 / APPLIED_POLL_S)):
             if self._service.replica.applied_index >= index:
                 return True
-            await asyncio.sleep(REACH_POLL_S)
+            await asyncio.sleep(APPLIED_POLL_S)
         return False
 
     async def _list_rows(self, request: web.Request) -> Result[list[RowReply], Failure]:
@@ -249,7 +249,7 @@
         started_s = loop.time()
         deadline_s = started_s + min(wait_ms, MAXIMUM_WAIT_MS) / 1000
         while True:
-            done, missing = self._service.reach.in_force(reply.revision, domains)
+            done, missing = self._service.domain_revisions.in_force(reply.revision, domains)
             if not missing or loop.time() >= deadline_s:
                 return msgspec.structs.replace(
                     reply,
@@ -257,7 +257,7 @@
                     not_in_force=tuple(sorted(missing)),
                     waited_ms=int((loop.time() - started_s) * 1000),
                 )
-            await asyncio.sleep(REACH_POLL_S)
+            await asyncio.sleep(APPLIED_POLL_S)
 
     async def _operation(self, request: web.Request) -> Result[EditReply, Failure]:
         await self._fresh(request)
--- a/src/leadhollow/state/replica.py
+++ b/src/leadhollow/state/replica.py
@@ -12,19 +12,19 @@
 from leadhollow.settings.model import PeerSettings, StateSettings
 from leadhollow.state.commands import Command, decode_command
 from leadhollow.state.election import Election
-from leadhollow.state.following import Following
+from leadhollow.state.following import FollowerHandlers
 from leadhollow.state.leadership import Leadership
 from leadhollow.state.log_store import Entry, LogStore, Snapshot, Vote
 from leadhollow.state.machine import StateMachine
 from leadhollow.state.replica_state import (
-    Applied,
+    AppliedCommand,
     ReplicaRole,
     ReplicaState,
-    answer_proposal,
     now_s,
-    spawn,
+    resolve_proposal,
+    start_task,
 )
-from leadhollow.state.voters import Voter, VoterBook, VoterSet, encode_voters
+from leadhollow.state.voters import Voter, VoterHistory, VoterSet, encode_voters
 from leadhollow.wire.generated.ttypes import StandNow
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
@@ -72,15 +72,15 @@
         )
         state = ReplicaState(
             vm=vm,
-            voters=VoterBook(initial=named or voters),
-            named=bool(named),
+            voters=VoterHistory(initial=named or voters),
+            fixed_voters=bool(named),
             timing=timing,
             store=store,
             peers=peers,
         )
         self._state = state
         self._leadership = Leadership(state=state)
-        self._following = Following(state=state, leadership=self._leadership)
+        self._following = FollowerHandlers(state=state, leadership=self._leadership)
         self._election = Election(state=state, leadership=self._leadership, seed=seed)
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -175,22 +175,22 @@
         if state.store.snapshot.last_index:
             state.machine.restore(state.store.snapshot.data)
             state.commit_index = state.applied_index = state.store.snapshot.last_index
-            state.note_snapshot(state.store.snapshot)
-        state.note_entries(state.store.entries)
-        state.heard_s = active_time.active_s()
+            state.restore_voters(state.store.snapshot)
+        state.apply_voter_changes(state.store.entries)
+        state.election_timer_reset_s = active_time.active_s()
         state.leader_heard_s = now_s()
-        spawn(self._tasks, self._election.watch(fresh=state.store.blank))
-        spawn(self._tasks, self._apply_committed())
+        start_task(self._tasks, self._election.run(fresh=state.store.never_used))
+        start_task(self._tasks, self._apply_committed())
         return Ok(None)
 
     async def stop(self) -> None:
         """Stop all tasks and close the disk."""
-        self._leadership.end()
+        self._leadership.stop()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self._state.steps.idle()
-        await self._state.disk.end()
+        await self._state.transitions.wait_idle()
+        await self._state.disk.stop()
         self._state.store.close()
 
     def ready(self) -> bool:
@@ -215,19 +215,19 @@
                 self._apply(entry)
             applied = state.applied_index - state.store.snapshot.last_index
             if applied >= state.timing.snapshot_entries and not state.failed:
-                await state.steps.run(self._take_snapshot)
+                await state.transitions.run(self._take_snapshot)
 
     def _apply(self, entry: Entry) -> None:
         state = self._state
         decoded = decode_command(entry.command)
-        done = state.waiting.pop(entry.index, None)
+        done = state.pending.pop(entry.index, None)
         state.applied_index = entry.index
         if decoded.is_err():
             log.error("entry not understood", index=entry.index, failure=decoded.unwrap_err())
-            answer_proposal(done, Err(decoded.unwrap_err()))
+            resolve_proposal(done, Err(decoded.unwrap_err()))
             return
         answer = state.machine.apply(entry.index, decoded.unwrap())
-        answer_proposal(done, Ok(Applied(index=entry.index, answer=answer)))
+        resolve_proposal(done, Ok(AppliedCommand(index=entry.index, answer=answer)))
 
     async def _take_snapshot(self) -> None:
         state = self._state
@@ -236,13 +236,13 @@
             last_index=index,
             last_term=state.store.term_at(index) or 0,
             data=state.machine.snapshot(),
-            voters=b"" if state.named else encode_voters(state.voters.at(index).voters),
+            voters=b"" if state.fixed_voters else encode_voters(state.voters.at(index).voters),
         )
         saved = await state.disk.run(lambda: state.store.save_snapshot(snapshot))
         if saved.is_err():
             state.fail(saved.unwrap_err())
             return
-        state.voters.forget_before(index)
+        state.voters.compact_before(index)
         log.info("snapshot taken", index=index, size_bytes=len(snapshot.data))
 
 
--- a/src/leadhollow/state/replica_state.py
+++ b/src/leadhollow/state/replica_state.py
@@ -16,8 +16,8 @@
 from leadhollow.state.disk_thread import DiskThread
 from leadhollow.state.log_store import Entry, LogStore, Snapshot, Vote
 from leadhollow.state.machine import StateMachine
-from leadhollow.state.voters import Voter, VoterBook, decode_voters
-from leadhollow.state.whole_steps import WholeSteps
+from leadhollow.state.transition_queue import TransitionQueue
+from leadhollow.state.voters import Voter, VoterHistory, decode_voters
 from leadhollow.wire.peers import PeerPool
 
 CALL_TIMEOUT_MS = 1_000
@@ -34,7 +34,7 @@
     LEADER = "leader"
 
 
-class Applied:
+class AppliedCommand:
     """Answer to a proposal, with its place in the log."""
 
     __slots__ = ("answer", "index")
@@ -75,19 +75,19 @@
         "commit_index",
         "disk",
         "failed",
-        "heard_s",
+        "election_timer_reset_s",
         "leader_heard_s",
         "leader_vm",
         "machine",
-        "named",
+        "fixed_voters",
         "peers",
         "role",
-        "steps",
+        "transitions",
         "store",
         "timing",
         "vm",
         "voters",
-        "waiting",
+        "pending",
         "wake_apply",
     )
 
@@ -95,29 +95,29 @@
         self,
         *,
         vm: str,
-        voters: VoterBook,
-        named: bool,
+        voters: VoterHistory,
+        fixed_voters: bool,
         timing: StateSettings,
         store: LogStore,
         peers: PeerPool,
     ) -> None:
         self.vm = vm
         self.voters = voters
-        self.named = named
+        self.fixed_voters = fixed_voters
         self.timing = timing
         self.store = store
         self.peers = peers
         self.disk = DiskThread()
-        self.steps = WholeSteps()
+        self.transitions = TransitionQueue()
         self.machine = StateMachine()
         self.role = ReplicaRole.FOLLOWER
         self.leader_vm = ""
         self.commit_index = 0
         self.applied_index = 0
         self.failed = False
-        self.heard_s = 0.0
+        self.election_timer_reset_s = 0.0
         self.leader_heard_s = 0.0
-        self.waiting: dict[int, asyncio.Future[Result[Applied, Failure]]] = {}
+        self.pending: dict[int, asyncio.Future[Result[Applied, Failure]]] = {}
         self.wake_apply = asyncio.Event()
         self._step_down: Callable[[], None] = _nothing
         self._voters_changed: Callable[[], None] = _nothing
@@ -155,23 +155,23 @@
         """Call a function when the voter set in force changes."""
         self._voters_changed = work
 
-    def note_entries(self, entries: list[Entry]) -> None:
+    def apply_voter_changes(self, entries: list[Entry]) -> None:
         """Take over the voter sets of entries that the log took."""
-        if self.voters.note(entries):
-            self._tell_voters()
+        if self.voters.record_entries(entries):
+            self._notify_voters_changed()
 
-    def note_cut(self, index: int) -> None:
+    def revert_voter_changes(self, index: int) -> None:
         """Drop the voter sets of entries that were cut off the log."""
-        if self.voters.cut_from(index):
-            self._tell_voters()
+        if self.voters.revert_from(index):
+            self._notify_voters_changed()
 
-    def note_snapshot(self, snapshot: Snapshot) -> None:
+    def restore_voters(self, snapshot: Snapshot) -> None:
         """Begin with the voter set of a snapshot."""
         if snapshot.voters:
-            self.voters.restart(index=snapshot.last_index, voters=decode_voters(snapshot.voters))
-            self._tell_voters()
+            self.voters.reset(index=snapshot.last_index, voters=decode_voters(snapshot.voters))
+            self._notify_voters_changed()
 
-    def _tell_voters(self) -> None:
+    def _notify_voters_changed(self) -> None:
         current = self.voters.current
         log.info(
             "voters changed",
@@ -188,7 +188,7 @@
         self.role = ReplicaRole.FOLLOWER
         self.leader_vm = leader
 
-    def leader_heard_lately(self) -> bool:
+    def leader_heard_recently(self) -> bool:
         """Tell whether a leader was heard within the shortest election timeout."""
         return now_s() - self.leader_heard_s < self.election_timeout_s
 
@@ -205,11 +205,11 @@
             self.fail(saved.unwrap_err())
         return saved.is_ok()
 
-    async def learn_term(self, term: int) -> None:
+    async def adopt_term(self, term: int) -> None:
         """Follow a higher term that somebody named."""
-        await self.steps.run(lambda: self._learn_term(term))
+        await self.transitions.run(lambda: self._adopt_term(term))
 
-    async def _learn_term(self, term: int) -> None:
+    async def _adopt_term(self, term: int) -> None:
         if term > self.term:
             self.become_follower("")
             await self.save_vote(Vote(term=term, voted_for="", voter=self.vote.voter))
@@ -223,7 +223,7 @@
 
     async def recover(self) -> None:
         """Try to write the log and the vote anew, and take part again where that succeeds."""
-        await self.steps.run(self._recover)
+        await self.transitions.run(self._recover)
 
     async def _recover(self) -> None:
         written = await self.disk.run(self.store.recover)
@@ -232,11 +232,11 @@
         if written.is_err():
             return
         self.failed = False
-        self.heard_s = active_time.active_s()
+        self.election_timer_reset_s = active_time.active_s()
         log.warning("replica takes part again", replica=self.vm, last_index=self.store.last_index)
 
 
-def answer_proposal(
+def resolve_proposal(
     done: asyncio.Future[Result[Applied, Failure]] | None, result: Result[Applied, Failure]
 ) -> None:
     """Answer a proposal once, if anybody still waits for it."""
@@ -244,7 +244,7 @@
         done.set_result(result)
 
 
-def spawn(tasks: list[asyncio.Task[None]], work: Coroutine[object, object, None]) -> None:
+def start_task(tasks: list[asyncio.Task[None]], work: Coroutine[object, object, None]) -> None:
     """Start a task whose crash is logged."""
     task = asyncio.get_running_loop().create_task(work)
     tasks.append(task)
@@ -268,10 +268,10 @@
 __all__ = [
     "CALL_TIMEOUT_MS",
     "VOTE_BLOCKED",
-    "Applied",
+    "AppliedCommand",
     "ReplicaRole",
     "ReplicaState",
     "answer_proposal",
     "now_s",
-    "spawn",
+    "start_task",
 ]
--- a/src/leadhollow/state/route_tables.py
+++ b/src/leadhollow/state/route_tables.py
@@ -57,7 +57,7 @@
     return MIN_TABLE_NUMBER - 1 if held is None else held.number
 
 
-def replacement(table: RouteTable, source: bytes) -> ReplaceRouteTable:
+def replacement_command(table: RouteTable, source: bytes) -> ReplaceRouteTable:
     """Make the command that puts a table in force."""
     return ReplaceRouteTable(
         number=table.number,
@@ -66,4 +66,4 @@
     )
 
 
-__all__ = ["RouteTables", "held_number", "replacement"]
+__all__ = ["RouteTables", "held_number", "replacement_command"]
--- a/src/leadhollow/state/service.py
+++ b/src/leadhollow/state/service.py
@@ -14,9 +14,9 @@
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.model import Settings
 from leadhollow.state.commands import ExpireClaims, TermStart, decode_command, encode
-from leadhollow.state.leases import LeaseKeeper
+from leadhollow.state.domain_revisions import DomainRevisions
+from leadhollow.state.leases import LeaseManager
 from leadhollow.state.log_store import LogStore
-from leadhollow.state.reach import Reach
 from leadhollow.state.replica import Replica
 from leadhollow.state.watch import serve_catalog
 from leadhollow.wire.connection import Connection
@@ -41,7 +41,7 @@
 class StateService:
     """Replica, leases and watches of one state VM."""
 
-    __slots__ = ("_leases", "_settings", "_tasks", "reach", "replica")
+    __slots__ = ("_leases", "_settings", "_tasks", "domain_revisions", "replica")
 
     def __init__(self, *, settings: Settings, peers: PeerPool, handlers: HandlerTable) -> None:
         self._settings = settings
@@ -54,8 +54,8 @@
             peers=peers,
             seed=zlib.crc32(settings.vm.encode()),
         )
-        self._leases = LeaseKeeper(replica=self.replica, ttl_ms=settings.domain.lease_ttl_ms)
-        self.reach = Reach()
+        self._leases = LeaseManager(replica=self.replica, ttl_ms=settings.domain.lease_ttl_ms)
+        self.domain_revisions = DomainRevisions()
         self._tasks: list[asyncio.Task[None]] = []
         self.replica.register(handlers)
         handlers.on_call(ProposeRequest, self._on_propose)
@@ -103,7 +103,7 @@
     ) -> Result[LeaseRenewalReply, Failure]:
         try:
             async with active_timeout(COMMIT_TIMEOUT_S):
-                given = await self._leases.renew_or_take(
+                given = await self._leases.renew_or_acquire(
                     name=request.name, holder=request.holder, fence=request.fence
                 )
         except TimeoutError:
@@ -117,7 +117,7 @@
         return Ok(LeaseRenewalReply(True, record.ttl_ms, record.fence))
 
     def _on_domain_applied(self, report: DomainApplied, connection: Connection) -> None:
-        self.reach.note(report)
+        self.domain_revisions.note(report)
 
     async def _on_watch(self, request: CatalogWatch, sink: StreamSink) -> Result[None, Failure]:
         return await serve_catalog(self.replica.machine.catalog, request, sink)
--- a/src/leadhollow/state/status.py
+++ b/src/leadhollow/state/status.py
@@ -12,7 +12,7 @@
     catalog = service.replica.machine.catalog
     replica = service.replica
     known = {record.root: record for record in catalog.versions()}
-    reports = service.reach.domains()
+    reports = service.domain_revisions.domains()
     domains = []
     for name in sorted({peer.failure_domain for peer in settings.domain_replicas}):
         reach = reports.get(name)
@@ -35,7 +35,7 @@
         domains.append(
             DomainStatus(
                 failure_domain=name,
-                connected=service.reach.reachable(reach),
+                connected=service.domain_revisions.reachable(reach),
                 revision=reach.revision,
                 daemons=reach.report.daemons or 0,
                 behind=tuple(reach.report.behind or ()),
--- a/src/leadhollow/state/whole_steps.py
+++ b/src/leadhollow/state/transition_queue.py
@@ -9,7 +9,7 @@
 StepAnswer = TypeVar("StepAnswer")
 
 
-class WholeSteps:
+class TransitionQueue:
     """Lets no step end between what it writes and what it notes of that.
 
     A step belongs to the replica, not to whoever asked for it: a connection that ends, or a task
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._lock = asyncio.Lock()
 
-    async def run(self, step: Callable[[], Awaitable[StepAnswer]]) -> StepAnswer:
+    async def run(self, transition: Callable[[], Awaitable[StepAnswer]]) -> StepAnswer:
         """Do a step once all that were asked for before it have ended.
 
         Parameters
@@ -31,10 +31,10 @@
             May not ask for another step.
         """
         await self._lock.acquire()
-        running = asyncio.get_running_loop().create_task(self._finish(step))
+        running = asyncio.get_running_loop().create_task(self._finish(transition))
         return await asyncio.shield(running)
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until no step is running."""
         async with self._lock:
             return
--- a/src/leadhollow/state/roster.py
+++ b/src/leadhollow/state/voter_manager.py
@@ -8,11 +8,11 @@
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.observe.logs import get_logger, log_decision
 from leadhollow.state.replica import Replica
-from leadhollow.state.roster_rules import ReplicaStanding, next_voters
+from leadhollow.state.voter_rules import ReplicaHealth, choose_voters
 from leadhollow.state.voters import ChangeVoters
 
 CHECK_INTERVAL_S = 0.2
-GONE_AFTER_S = 1.5
+VOTER_LOST_S = 1.5
 """Longer than an election and a restart; a voter is only given up where another is ready."""
 
 CHANGE_TIMEOUT_S = 2.0
@@ -20,7 +20,7 @@
 log = get_logger("roster")
 
 
-class RosterKeeper(TaskService):
+class VoterManager(TaskService):
     """Proposes changes of the voter set while this replica leads.
 
     Parameters
@@ -29,17 +29,17 @@
         Voters that the log should have.
     """
 
-    __slots__ = ("_replica", "_wanted")
+    __slots__ = ("_replica", "_voter_count")
 
-    def __init__(self, *, replica: Replica, wanted: int) -> None:
+    def __init__(self, *, replica: Replica, voter_count: int) -> None:
         self._replica = replica
-        self._wanted = wanted
+        self._voter_count = voter_count
         super().__init__()
 
     async def _work(self) -> None:
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            self._replica.leadership.match_followers()
+            self._replica.leadership.sync_followers()
             if self._replica.ready() and self._settled():
                 await self._change_if_needed()
 
@@ -50,8 +50,10 @@
     async def _change_if_needed(self) -> None:
         replica = self._replica
         current = replica.voters
-        standings = self._standings()
-        voters = next_voters(current, standings, wanted=self._wanted, gone_after_s=GONE_AFTER_S)
+        standings = self._replica_health()
+        voters = choose_voters(
+            current, standings, voter_count=self._voter_count, lost_after_s=VOTER_LOST_S
+        )
         if voters is None:
             return
         log_decision(
@@ -61,7 +63,7 @@
             silent={
                 standing.peer.replica: round(standing.silence_s, 2)
                 for standing in standings
-                if standing.silence_s >= GONE_AFTER_S
+                if standing.silence_s >= VOTER_LOST_S
             },
         )
         try:
@@ -73,11 +75,11 @@
         if changed.is_err():
             log.warning("voter change failed", failure=str(changed.unwrap_err()))
 
-    def _standings(self) -> list[ReplicaStanding]:
+    def _replica_health(self) -> list[ReplicaHealth]:
         replica = self._replica
         leadership = replica.leadership
         return [
-            ReplicaStanding(
+            ReplicaHealth(
                 peer=follower.peer,
                 caught_up=follower.match >= replica.commit_index,
                 silence_s=leadership.silence_s(follower.peer.replica),
--- a/src/leadhollow/state/roster_rules.py
+++ b/src/leadhollow/state/voter_rules.py
@@ -7,7 +7,7 @@
 from leadhollow.state.voters import Voter, VoterSet
 
 
-class ReplicaStanding:
+class ReplicaHealth:
     """What a leader knows of another replica.
 
     Parameters
@@ -26,12 +26,12 @@
         self.silence_s = silence_s
 
 
-def next_voters(
+def choose_voters(
     current: VoterSet,
-    standings: Sequence[ReplicaStanding],
+    replicas: Sequence[ReplicaHealth],
     *,
-    wanted: int,
-    gone_after_s: float,
+    voter_count: int,
+    lost_after_s: float,
 ) -> tuple[Voter, ...] | None:
     """Choose the next voter set.
 
@@ -53,24 +53,24 @@
     """
     learners = [
         standing
-        for standing in standings
+        for standing in replicas
         if standing.peer.replica not in current
         and standing.caught_up
-        and standing.silence_s < gone_after_s
+        and standing.silence_s < lost_after_s
     ]
     silent = [
         standing.peer
-        for standing in standings
-        if standing.peer.replica in current and standing.silence_s >= gone_after_s
+        for standing in replicas
+        if standing.peer.replica in current and standing.silence_s >= lost_after_s
     ]
     by_address = {voter.address: voter for voter in current.voters}
     for learner in learners:
         lost = by_address.get(learner.peer.address)
         if lost is not None:
             return (*_without(current, lost), learner.peer)
-    if len(current) > wanted and silent:
+    if len(current) > voter_count and silent:
         return _without(current, silent[0])
-    room = len(current) < wanted or (silent and len(current) == wanted)
+    room = len(current) < voter_count or (silent and len(current) == voter_count)
     if learners and room:
         chosen = min(learners, key=lambda found: _crowd(current, found.peer, silent))
         return (*current.voters, chosen.peer)
--- a/src/leadhollow/state/voters.py
+++ b/src/leadhollow/state/voters.py
@@ -69,7 +69,7 @@
         return [voter for voter in self.voters if voter.replica != replica]
 
 
-class VoterBook:
+class VoterHistory:
     """The voter sets that stand in a replica's log, the newest last."""
 
     __slots__ = ("_sets",)
@@ -82,7 +82,7 @@
         """The set in force."""
         return self._sets[-1]
 
-    def note(self, entries: Iterable[Entry]) -> bool:
+    def record_entries(self, entries: Iterable[Entry]) -> bool:
         """Take the sets that new entries name.
 
         Returns
@@ -92,20 +92,20 @@
         """
         changed = False
         for entry in entries:
-            voters = voters_of(entry)
+            voters = decode_voter_change(entry)
             if voters is not None:
                 self._sets.append(VoterSet(index=entry.index, voters=voters))
                 changed = True
         return changed
 
-    def cut_from(self, index: int) -> bool:
+    def revert_from(self, index: int) -> bool:
         """Drop the sets of entries that were cut off the log; True where the set changed."""
         kept = [found for found in self._sets if found.index < index or found.index == 0]
         changed = len(kept) != len(self._sets)
         self._sets = kept
         return changed
 
-    def restart(self, *, index: int, voters: Iterable[Voter]) -> None:
+    def reset(self, *, index: int, voters: Iterable[Voter]) -> None:
         """Begin from a snapshot."""
         self._sets = [VoterSet(index=index, voters=voters)]
 
@@ -117,13 +117,13 @@
             default=self._sets[0],
         )
 
-    def forget_before(self, index: int) -> None:
+    def compact_before(self, index: int) -> None:
         """Forget sets that a snapshot at this index covers, but the one in force there."""
         base = self.at(index)
         self._sets = [base, *(found for found in self._sets if found.index > base.index)]
 
 
-def voters_of(entry: Entry) -> tuple[Voter, ...] | None:
+def decode_voter_change(entry: Entry) -> tuple[Voter, ...] | None:
     """Give the voters that an entry names, None where it is another command."""
     if _TAG_BYTES not in entry.command[:_TAG_WINDOW]:
         return None
--- a/tests/kernel/test_clocks.py
+++ b/tests/kernel/test_clocks.py
@@ -28,7 +28,7 @@
 from leadhollow.placement.domain_lease import DomainLease
 from leadhollow.settings.node import Bounds
 from leadhollow.state.catalog import Catalog
-from leadhollow.state.leases import LeaseKeeper
+from leadhollow.state.leases import LeaseManager
 from leadhollow.state.records import CatalogItem
 from leadhollow.weights.named_versions import NamedVersion
 from tests.support import eventually
@@ -136,12 +136,12 @@
             leader_since_s=clocks.elapsed_s(),
             propose=propose,
         )
-        keeper = LeaseKeeper(replica=replica, ttl_ms=2_000)
-        assert (await keeper.renew_or_take(name="l", holder="one", fence=3)).is_ok()
-        assert (await keeper.renew_or_take(name="l", holder="two", fence=0)).is_err()
+        keeper = LeaseManager(replica=replica, ttl_ms=2_000)
+        assert (await keeper.renew_or_acquire(name="l", holder="one", fence=3)).is_ok()
+        assert (await keeper.renew_or_acquire(name="l", holder="two", fence=0)).is_err()
         assert not taken
         suspend()
-        await keeper.renew_or_take(name="l", holder="two", fence=0)
+        await keeper.renew_or_acquire(name="l", holder="two", fence=0)
         assert len(taken) == 1
 
 
--- a/tests/routing/test_tables.py
+++ b/tests/routing/test_tables.py
@@ -21,7 +21,7 @@
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.commands import DescribeVersion, NameVersion
 from leadhollow.state.machine import StateMachine
-from leadhollow.state.route_tables import held_number, replacement
+from leadhollow.state.route_tables import held_number, replacement_command
 from leadhollow.state.weights_versions import versions_of
 from leadhollow.weights.named_versions import PieceManifest
 
@@ -82,7 +82,7 @@
 def machine_with(*tables: RouteTable) -> StateMachine:
     machine = StateMachine()
     for index, each in enumerate(tables, start=1):
-        machine.apply(index, replacement(each, f"document {each.number}".encode()))
+        machine.apply(index, replacement_command(each, f"document {each.number}".encode()))
     return machine
 
 
@@ -139,7 +139,7 @@
     def test_index_follows_a_new_table(self):
         machine = machine_with(table(1))
         index = RouteIndex(catalog=machine.catalog)
-        machine.apply(2, replacement(table(2, route(prefix="/b/")), b""))
+        machine.apply(2, replacement_command(table(2, route(prefix="/b/")), b""))
         assert index.number == 2
         assert index.route("h.example", "/a/x") is None
         assert index.route("h.example", "/b/x") is not None
@@ -151,7 +151,7 @@
         assert index.organisation("k1").name == "g"
         assert index.organisation("k3") is None
         fewer = (Organisation(name="g", key_sha256s=(digest("k2"),)),)
-        machine.apply(2, replacement(table(2, organisations=fewer, keyed=True), b""))
+        machine.apply(2, replacement_command(table(2, organisations=fewer, keyed=True), b""))
         assert index.organisation("k1") is None
         assert index.keyed
 
--- a/tests/state/test_changing_voters.py
+++ b/tests/state/test_changing_voters.py
@@ -191,7 +191,7 @@
     async def test_gives_the_lead_to_another_one_at_once(self, group):
         await group.accept()
         leader = await group.wait_leader()
-        assert await leader.replica.leadership.hand_over(2.0)
+        assert await leader.replica.leadership.transfer_leadership(2.0)
         assert leader.replica.role is not ReplicaRole.LEADER
         other = await group.wait_leader()
         assert other is not leader
--- a/tests/state/test_disk_thread.py
+++ b/tests/state/test_disk_thread.py
@@ -15,11 +15,11 @@
         work = BlockingWork()
         running = asyncio.create_task(disk.run(work))
         await asyncio.sleep(0)
-        await disk.end()
+        await disk.stop()
         assert running.done()
         assert not work.held_up_loop
 
     async def test_ends_at_once_where_there_is_none(self):
         disk = DiskThread()
         assert await disk.run(lambda: 1) == 1
-        await disk.end()
+        await disk.stop()
--- a/tests/state/test_log_store.py
+++ b/tests/state/test_log_store.py
@@ -12,7 +12,7 @@
 from leadhollow.codes import Code
 from leadhollow.state.files import (
     FILE_MAGIC,
-    RECORD_HEAD,
+    RECORD_HEADER,
     pack_record,
     read_file,
     replace_file,
@@ -89,9 +89,9 @@
         assert reopen(store, tmp_path).entries == entries(1, 4)
 
     def test_a_blank_disk_is_told_apart(self, store):
-        assert store.blank
+        assert store.never_used
         store.save_vote(Vote(term=1))
-        assert not store.blank
+        assert not store.never_used
 
 
 class TestSnapshot:
@@ -171,7 +171,7 @@
         store.close()
         path = tmp_path / LOG_FILE
         data = bytearray(path.read_bytes())
-        data[RECORD_HEAD.size + 8] ^= 1
+        data[RECORD_HEADER.size + 8] ^= 1
         path.write_bytes(data)
         failure = LogStore(folder=tmp_path).open().unwrap_err()
         assert failure.code is Code.LOG_DAMAGED
--- a/tests/state/test_held_up.py
+++ b/tests/state/test_stalled_replicas.py
@@ -12,7 +12,7 @@
 from leadhollow.state.disk_thread import DiskThread
 from leadhollow.state.leadership import DISK_STALL_S
 from leadhollow.state.replica import ReplicaRole
-from leadhollow.state.roster import GONE_AFTER_S
+from leadhollow.state.voter_manager import VOTER_LOST_S
 from leadhollow.wire.generated.ttypes import VoteReply, VoteRequest
 from tests.other_loop import LOOPS, hold_up, run_on
 from tests.support import ReplicaGroup, eventually
@@ -65,10 +65,10 @@
         async def work() -> None:
             group, leader = await led_group(tmp_path)
             others = [vm for vm in group.nodes if vm != leader.vm]
-            time.sleep(GONE_AFTER_S + 0.2)
+            time.sleep(VOTER_LOST_S + 0.2)
             silences_s = [leader.replica.leadership.silence_s(vm) for vm in others]
             await group.stop_all()
-            assert max(silences_s) < GONE_AFTER_S
+            assert max(silences_s) < VOTER_LOST_S
 
         run_on(loop_name, work)
 
--- a/tests/state/test_whole_steps.py
+++ b/tests/state/test_transition_queue.py
@@ -8,12 +8,12 @@
 
 from leadhollow.settings.model import StateSettings
 from leadhollow.state.commands import encode
-from leadhollow.state.following import Following
+from leadhollow.state.following import FollowerHandlers
 from leadhollow.state.leadership import Leadership
 from leadhollow.state.log_store import LogStore, Vote
 from leadhollow.state.replica_state import ReplicaState
-from leadhollow.state.voters import ChangeVoters, Voter, VoterBook, encode_voters
-from leadhollow.state.whole_steps import WholeSteps
+from leadhollow.state.transition_queue import TransitionQueue
+from leadhollow.state.voters import ChangeVoters, Voter, VoterHistory, encode_voters
 from leadhollow.wire.generated.ttypes import AppendRequest, LogEntry, SnapshotRequest
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.peers import PeerPool
@@ -25,7 +25,7 @@
 
 class TestWholeSteps:
     async def test_end_though_their_caller_is_cancelled_and_cancelled_again(self):
-        steps, gate, done = WholeSteps(), asyncio.Event(), []
+        steps, gate, done = TransitionQueue(), asyncio.Event(), []
 
         async def step():
             await gate.wait()
@@ -48,7 +48,7 @@
         assert caller.cancelled()
 
     async def test_of_a_caller_that_left_before_never_begin(self):
-        steps, gate, done = WholeSteps(), asyncio.Event(), []
+        steps, gate, done = TransitionQueue(), asyncio.Event(), []
 
         async def step():
             done.append("left")
@@ -60,11 +60,11 @@
         waiting.cancel()
         gate.set()
         await running
-        await steps.idle()
+        await steps.wait_idle()
         assert done == []
 
     async def test_that_fail_let_the_next_begin(self):
-        steps = WholeSteps()
+        steps = TransitionQueue()
 
         async def failing():
             raise OSError
@@ -77,11 +77,11 @@
         assert await steps.run(step) == 7
 
     async def test_are_waited_for_where_a_replica_stops(self):
-        steps, gate = WholeSteps(), asyncio.Event()
+        steps, gate = TransitionQueue(), asyncio.Event()
         caller = asyncio.ensure_future(steps.run(gate.wait))
         await asyncio.sleep(0)
         caller.cancel()
-        idle = asyncio.ensure_future(steps.idle())
+        idle = asyncio.ensure_future(steps.wait_idle())
         await asyncio.sleep(0.01)
         assert not idle.done()
         gate.set()
@@ -95,8 +95,8 @@
     assert store.save_vote(Vote(term=1, voted_for="", voter=True)).is_ok()
     made = ReplicaState(
         vm="b",
-        voters=VoterBook(initial=FIRST),
-        named=False,
+        voters=VoterHistory(initial=FIRST),
+        fixed_voters=False,
         timing=StateSettings(heartbeat_ms=40, election_timeout_ms=200, snapshot_entries=64),
         store=store,
         peers=PeerPool(vm="b", failure_domain="d", token=TOKEN, handlers=HandlerTable()),
@@ -108,7 +108,7 @@
 
 class TestAFollowerWhoseConnectionEnds:
     async def test_while_it_writes_entries_notes_their_voters(self, state):
-        following = Following(state=state, leadership=Leadership(state=state))
+        following = FollowerHandlers(state=state, leadership=Leadership(state=state))
         entry = LogEntry(1, 1, encode(ChangeVoters(voters=NEXT)))
         request = AppendRequest(1, "a", 0, 0, [entry], 0, "b")
         await _cancel_while_the_disk_writes(state, following._on_append(request, None))
@@ -116,7 +116,7 @@
         assert state.voters.current.voters == NEXT
 
     async def test_while_it_saves_a_snapshot_takes_all_of_it(self, state):
-        following = Following(state=state, leadership=Leadership(state=state))
+        following = FollowerHandlers(state=state, leadership=Leadership(state=state))
         data = state.machine.snapshot()
         request = SnapshotRequest(1, "a", 9, 1, data, encode_voters(NEXT), "b")
         await _cancel_while_the_disk_writes(state, following._on_snapshot(request, None))
--- a/tests/state/test_voters.py
+++ b/tests/state/test_voters.py
@@ -6,11 +6,11 @@
 
 from leadhollow.state.commands import TermStart, encode
 from leadhollow.state.log_store import Entry
-from leadhollow.state.roster_rules import ReplicaStanding, next_voters
+from leadhollow.state.voter_rules import ReplicaHealth, choose_voters
 from leadhollow.state.voters import (
     ChangeVoters,
     Voter,
-    VoterBook,
+    VoterHistory,
     VoterSet,
     decode_voters,
     encode_voters,
@@ -34,35 +34,35 @@
 
 class TestVoterBook:
     def test_takes_the_newest_set_of_the_log(self):
-        book = VoterBook(initial=[voter("a")])
-        assert book.note([Entry(1, 1, encode(TermStart())), change(2, "a", "b")])
+        book = VoterHistory(initial=[voter("a")])
+        assert book.record_entries([Entry(1, 1, encode(TermStart())), change(2, "a", "b")])
         assert names(book.current.voters) == ["a", "b"]
         assert book.current.index == 2
 
     def test_goes_back_when_the_entry_is_cut_off(self):
-        book = VoterBook(initial=[voter("a")])
-        book.note([change(2, "a", "b"), change(5, "a", "b", "c")])
-        assert book.cut_from(5)
+        book = VoterHistory(initial=[voter("a")])
+        book.record_entries([change(2, "a", "b"), change(5, "a", "b", "c")])
+        assert book.revert_from(5)
         assert names(book.current.voters) == ["a", "b"]
-        assert book.cut_from(1)
+        assert book.revert_from(1)
         assert names(book.current.voters) == ["a"]
 
     def test_ignores_other_commands(self):
-        book = VoterBook(initial=[voter("a")])
-        assert not book.note([Entry(1, 1, encode(TermStart()))])
+        book = VoterHistory(initial=[voter("a")])
+        assert not book.record_entries([Entry(1, 1, encode(TermStart()))])
 
     def test_gives_the_set_at_an_entry(self):
-        book = VoterBook(initial=[voter("a")])
-        book.note([change(2, "a", "b"), change(5, "b")])
+        book = VoterHistory(initial=[voter("a")])
+        book.record_entries([change(2, "a", "b"), change(5, "b")])
         assert names(book.at(4).voters) == ["a", "b"]
-        book.forget_before(4)
+        book.compact_before(4)
         assert names(book.at(4).voters) == ["a", "b"]
         assert names(book.current.voters) == ["b"]
 
     def test_survives_a_snapshot(self):
         saved = encode_voters([voter("a"), voter("b")])
-        book = VoterBook(initial=[])
-        book.restart(index=9, voters=decode_voters(saved))
+        book = VoterHistory(initial=[])
+        book.reset(index=9, voters=decode_voters(saved))
         assert names(book.current.voters) == ["a", "b"]
 
 
@@ -73,17 +73,17 @@
     silence_s: float = 0.0,
     address: str = "",
     domain: str = "",
-) -> ReplicaStanding:
+) -> ReplicaHealth:
     peer = voter(name, address=address, domain=domain)
-    return ReplicaStanding(peer=peer, caught_up=caught_up, silence_s=silence_s)
+    return ReplicaHealth(peer=peer, caught_up=caught_up, silence_s=silence_s)
 
 
 def choose(current, standings, wanted: int = 3):
-    found = next_voters(
+    found = choose_voters(
         VoterSet(index=1, voters=[voter(name) for name in current]),
         standings,
-        wanted=wanted,
-        gone_after_s=GONE_S,
+        voter_count=wanted,
+        lost_after_s=GONE_S,
     )
     return None if found is None else names(found)
 
