--- a/src/leadhollow/state/__init__.py
+++ b/src/leadhollow/state/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated log, table, leases and claims."""
+"""Replicated state: the log, its replicas, and the table, leases and claims it holds."""
--- a/src/leadhollow/state/backup.py
+++ b/src/leadhollow/state/backup.py
@@ -1,4 +1,4 @@
-"""Looks at, copies and brings back the state on a disk, while its process is stopped."""
+"""Verification, backup and restore of a state folder while its process is stopped."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StateReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What a state folder holds."""
+    """Summary of a state folder."""
 
     term: int
     voter: bool
@@ -31,12 +31,12 @@
 
 
 class Backup(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole state as one file.
+    """Content of a backup file.
 
     Parameters
     ----------
     entries
-        After the snapshot; those that were not committed are kept too, as a replica would.
+        Entries after the snapshot, including uncommitted ones, which a replica keeps, too.
     """
 
     format: int
@@ -46,14 +46,16 @@
 
 
 def verify_state(folder: Path) -> Result[StateReport, Failure]:
-    """Read a state folder whole and apply it; nothing is written but a torn tail cut.
+    """Read a state folder and apply all its entries.
+
+    The only change on disk is that an incomplete record at the end of the log is cut off.
 
     Errors
     ------
     FILE_UNREADABLE
-        There is no such folder.
+        The folder does not exist.
     LOG_DAMAGED, SNAPSHOT_DAMAGED, COMMAND_INVALID
-        With the file and offset.
+        The state is damaged or unknown; the detail names the place.
     """
     if not folder.is_dir():
         return Err(Failure(code=Code.FILE_UNREADABLE, detail=f"{folder} is no folder"))
@@ -68,7 +70,7 @@
 
 
 def backup_state(folder: Path, target: Path) -> Result[StateReport, Failure]:
-    """Copy a verified state folder into one checksummed file."""
+    """Verify a state folder and copy it into one checksummed file."""
     verified = verify_state(folder)
     if verified.is_err():
         return verified
@@ -88,14 +90,14 @@
 
 
 def restore_state(source: Path, folder: Path) -> Result[StateReport, Failure]:
-    """Bring a backup back into an empty folder.
+    """Restore a backup into an empty folder.
 
     Errors
     ------
     FILE_UNREADABLE
-        There is no such backup, or the folder holds a state already.
+        The backup does not exist, or the folder is not empty.
     SNAPSHOT_DAMAGED
-        The backup is not whole.
+        The backup is incomplete or damaged.
     """
     read = read_file(source)
     if read.is_err():
--- a/src/leadhollow/state/catalog.py
+++ b/src/leadhollow/state/catalog.py
@@ -1,4 +1,4 @@
-"""The part of the state that every daemon holds: items by key, each with its revision."""
+"""Catalog: the part of the replicated state that every daemon has, as items with revisions."""
 
 from __future__ import annotations
 
@@ -30,10 +30,15 @@
 
 
 class Catalog:
-    """Items by key; changes are applied forwards only.
+    """Items by key; an item is only ever replaced by one of a higher revision.
 
-    ``revision`` is the log index up to which the catalog is complete. Items stand in the order of
-    their revisions, so that what is new is found at the end however many there are.
+    Items are kept in the order of their revisions. New ones are found at the end, at a cost that
+    does not depend on the size of the catalog.
+
+    Attributes
+    ----------
+    revision
+        Log index up to which the catalog is complete.
     """
 
     __slots__ = ("_changed", "_items", "_listeners", "_newest", "_rows_by_key_hash", "revision")
@@ -47,30 +52,30 @@
         self.revision = 0
 
     def apply(self, items: Iterable[CatalogItem], *, revision: int) -> list[CatalogItem]:
-        """Take items and the revision up to which they are complete.
+        """Add items and the revision up to which the catalog is then complete.
 
         Returns
         -------
         list of CatalogItem
-            Those that were new; older ones are ignored.
+            The items that were newer than the existing ones; others are ignored.
         """
-        fresh = []
+        newer_items = []
         for item in items:
             existing = self._items.get(item.key)
             if existing is None or item.revision > existing.revision:
-                self._items.pop(item.key, None)  # it moves to the end
+                self._items.pop(item.key, None)  # re-inserted at the end
                 self._items[item.key] = item
-                fresh.append(item)
+                newer_items.append(item)
         self.revision = max(self.revision, revision)
-        if fresh:
-            self._keep_order(fresh)
-            if any(item.key.startswith(ROW_PREFIX) for item in fresh):
+        if newer_items:
+            self._keep_order(newer_items)
+            if any(item.key.startswith(ROW_PREFIX) for item in newer_items):
                 self._index_keys()
             for listener in self._listeners:
-                listener(fresh)
+                listener(newer_items)
             self._changed.set()
             self._changed = asyncio.Event()
-        return fresh
+        return newer_items
 
     def on_change(self, listener: Listener) -> None:
         """Call a function with the new items after each change."""
@@ -81,7 +86,7 @@
         await self._changed.wait()
 
     def items_after(self, revision: int) -> list[CatalogItem]:
-        """Give all items newer than a revision, oldest first."""
+        """Return all items newer than a revision, oldest first."""
         newer = []
         for item in reversed(self._items.values()):
             if item.revision <= revision:
@@ -91,63 +96,63 @@
         return newer
 
     def items(self) -> dict[str, CatalogItem]:
-        """Give all items by key, removed ones included."""
+        """Return all items by key, including removed ones."""
         return self._items
 
     def values(self, value_type: type[Value]) -> list[Value]:
-        """Give all values of a type."""
+        """Return all values of a type."""
         return [item.value for item in self._items.values() if isinstance(item.value, value_type)]
 
     def value(self, key: str, value_type: type[Value]) -> Value | None:
-        """Give the value under a key, None where there is none of this type."""
+        """Return the value of a key, None if there is none of this type."""
         item = self._items.get(key)
         if item is None or not isinstance(item.value, value_type):
             return None
         return item.value
 
     def item(self, key: str) -> CatalogItem | None:
-        """Give an item, also one whose value was removed."""
+        """Return an item, including one whose value was removed."""
         return self._items.get(key)
 
     def row(self, group: str) -> StoredRow | None:
-        """Give a group's row."""
+        """Return a group's row."""
         return self.value(row_key(group), StoredRow)
 
     def rows(self) -> list[StoredRow]:
-        """Give all rows by group name."""
+        """Return all rows, sorted by group."""
         found = self.values(StoredRow)
         found.sort(key=lambda stored: stored.row.group)
         return found
 
     def version(self, model: str, version: str) -> VersionRecord | None:
-        """Give a published version."""
+        """Return a published version."""
         return self.value(version_key(model, version), VersionRecord)
 
     def versions(self) -> list[VersionRecord]:
-        """Give all published versions."""
+        """Return all published versions."""
         return self.values(VersionRecord)
 
     def lease(self, name: str) -> LeaseRecord | None:
-        """Give the record of a lease; the holder may have lost it since."""
+        """Return the record of a lease; it may have expired since."""
         return self.value(lease_key(name), LeaseRecord)
 
     def leases(self) -> list[LeaseRecord]:
-        """Give all lease records."""
+        """Return all lease records."""
         return self.values(LeaseRecord)
 
     def draining(self, server: str) -> bool:
-        """Tell whether an operator sends this backend server away."""
+        """Return whether an operator drains a backend server."""
         return self.value(drain_key(server), DrainRecord) is not None
 
     def group_of_key(self, key_sha256: str) -> StoredRow | None:
-        """Find the row that an API key's hash belongs to."""
+        """Return the row of the group that owns an API key, given by its hash."""
         group = self._rows_by_key_hash.get(key_sha256)
         return None if group is None else self.row(group)
 
-    def _keep_order(self, fresh: list[CatalogItem]) -> None:
-        """Sort again where items came out of order, as none do that one log made."""
+    def _keep_order(self, newer_items: list[CatalogItem]) -> None:
+        """Sort the items if the new ones are out of order, which those of one log never are."""
         in_order = True
-        for item in fresh:
+        for item in newer_items:
             in_order = in_order and item.revision >= self._newest
             self._newest = max(self._newest, item.revision)
         if not in_order:
@@ -170,7 +175,7 @@
     Raises
     ------
     msgspec.MsgspecError
-        The bytes are no item.
+        The bytes are not an encoded item.
     """
     return _decoder.decode(data)
 
--- a/src/leadhollow/state/client.py
+++ b/src/leadhollow/state/client.py
@@ -1,4 +1,4 @@
-"""Proposes commands to whichever state replica leads."""
+"""Client of the replicated log for processes that are not replicas themselves."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ProposalReply:
-    """Answer to a proposal, with its place in the log."""
+    """Answer to a committed command, with its log index."""
 
     __slots__ = ("answer", "index")
 
@@ -30,9 +30,9 @@
 
 
 class StateClient:
-    """Finds the leader and repeats a command until it is answered.
+    """Finds the leader and retries a command until it is answered.
 
-    Every command names its operation, key or lease, so repeating one is safe.
+    Every command names its operation, key or lease, so a retry is safe.
     """
 
     __slots__ = ("_leader", "_peers", "_replicas")
@@ -42,8 +42,10 @@
         self._peers = peers
         self._leader = ""
 
-    async def propose(self, command: Command, *, timeout_ms: float) -> Result[Proposed, Failure]:
-        """Have a command committed and applied.
+    async def propose(
+        self, command: Command, *, timeout_ms: float
+    ) -> Result[ProposalReply, Failure]:
+        """Propose a command and wait until it is committed and applied.
 
         Errors
         ------
@@ -64,17 +66,17 @@
     async def renew_lease(
         self, *, name: str, holder: str, fence: int, timeout_ms: float
     ) -> Result[LeaseRenewalReply, Failure]:
-        """Renew a lease, or try to take it with fence 0."""
+        """Renew a lease, or try to acquire it with fence 0."""
         return await self._ask_leader(LeaseRenewal(name, holder, fence), timeout_ms=timeout_ms)
 
     async def _ask_leader(self, body: Body, *, timeout_ms: float) -> Result[Body, Failure]:
         deadline_s = asyncio.get_running_loop().time() + timeout_ms / 1000
         may_be_written = False
         while True:
-            for replica in self._by_likelihood():
+            for replica in self._last_leader_first():
                 left_ms = (deadline_s - asyncio.get_running_loop().time()) * 1000
                 if left_ms <= 0:
-                    return Err(_gave_up(may_be_written))
+                    return Err(_timeout_failure(may_be_written))
                 connected = await self._peers.connection(replica.address)
                 if connected.is_err():
                     continue
@@ -91,11 +93,11 @@
                     return Err(failure)
             await asyncio.sleep(RETRY_PAUSE_S)
 
-    def _by_likelihood(self) -> list[PeerSettings]:
+    def _last_leader_first(self) -> list[PeerSettings]:
         return sorted(self._replicas, key=lambda replica: replica.vm != self._leader)
 
 
-def _gave_up(may_be_written: bool) -> Failure:
+def _timeout_failure(may_be_written: bool) -> Failure:
     return Failure(code=Code.EDIT_UNKNOWN if may_be_written else Code.NO_MAJORITY)
 
 
--- a/src/leadhollow/state/commands.py
+++ b/src/leadhollow/state/commands.py
@@ -1,4 +1,4 @@
-"""Commands that stand in the replicated log, and their answers."""
+"""Commands of the replicated log, their answers, and the encoding of both."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class RowEdit(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One row of an edit.
+    """Edit of one row.
 
     Parameters
     ----------
     expected_revision
-        Revision the operator saw; 0 for a row that must not exist yet.
+        Revision that the operator has seen; 0 if the row must not exist yet.
     row
-        The new row, or None to remove it.
+        New row, or None to remove it.
     """
 
     group: str
@@ -29,7 +29,7 @@
 
 
 class EditRows(msgspec.Struct, frozen=True, kw_only=True, tag="edit-rows"):
-    """An edit of one or more rows, taken whole or not at all."""
+    """Edits one or more rows atomically."""
 
     operation_id: str
     operator: str
@@ -37,7 +37,7 @@
 
 
 class PublishVersion(msgspec.Struct, frozen=True, kw_only=True, tag="publish-version"):
-    """Makes a model version known."""
+    """Publishes a model version."""
 
     operation_id: str
     model: str
@@ -48,7 +48,7 @@
 
 
 class SetDrain(msgspec.Struct, frozen=True, kw_only=True, tag="set-drain"):
-    """Sends a backend server away, or takes it back."""
+    """Starts or ends the drain of a backend server."""
 
     operation_id: str
     operator: str
@@ -57,7 +57,7 @@
 
 
 class TakeLease(msgspec.Struct, frozen=True, kw_only=True, tag="take-lease"):
-    """Gives a lease to a new holder; the leader proposes it only for a free lease."""
+    """Grants a lease to a new holder; the leader proposes it only if the lease is free."""
 
     name: str
     holder: str
@@ -76,7 +76,7 @@
 
 
 class FinishClaim(msgspec.Struct, frozen=True, kw_only=True, tag="finish-claim"):
-    """Stores how a claimed request ended."""
+    """Stores the result of a claimed request."""
 
     group: str
     key: str
@@ -89,20 +89,20 @@
 
 
 class ExpireClaims(msgspec.Struct, frozen=True, kw_only=True, tag="expire-claims"):
-    """Forgets claims up to a log index."""
+    """Removes all claims up to a log index."""
 
     through_index: int
 
 
 class ReplaceRouteTable(msgspec.Struct, frozen=True, kw_only=True, tag="replace-route-table"):
-    """Puts a whole route table in force; one that is not newer changes nothing.
+    """Replaces the route table if the new one has a higher number.
 
     Parameters
     ----------
     table
-        Encoded and compressed, see :mod:`leadhollow.state.route_tables`.
+        Encoded and compressed table, see :mod:`leadhollow.state.route_tables`.
     source
-        The operator's own document, compressed; it is given back as it came.
+        Document of the operator, compressed; it is returned unchanged on request.
     """
 
     number: int
@@ -111,14 +111,14 @@
 
 
 class NameVersion(msgspec.Struct, frozen=True, kw_only=True, tag="name-version"):
-    """Names a version of weights that engines shall run."""
+    """Names a version of weights that engines are to run."""
 
     model: str
     number: int
 
 
 class DescribeVersion(msgspec.Struct, frozen=True, kw_only=True, tag="describe-version"):
-    """Adds what the origin says of a version."""
+    """Adds the manifest of a version, as read from the origin."""
 
     model: str
     number: int
@@ -126,11 +126,11 @@
 
 
 class TermStart(msgspec.Struct, frozen=True, kw_only=True, tag="term-start"):
-    """Empty command with which a new leader commits the log before it."""
+    """Empty command of a new leader; its commit also commits all entries before it."""
 
 
 class ReadBarrier(msgspec.Struct, frozen=True, kw_only=True, tag="read-barrier"):
-    """Changes nothing; a reader waits for it so as to see all that was accepted before."""
+    """Changes nothing; a reader that has applied it sees all that was accepted before."""
 
 
 Command = (
@@ -151,14 +151,14 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
-    """What an operator's command was answered.
+    """Answer to a command of an operator.
 
     Parameters
     ----------
     code
-        0 where accepted.
+        0 if accepted.
     current
-        On a conflict, the items as they stand.
+        On a conflict, the current items.
     """
 
     code: int = 0
@@ -168,7 +168,7 @@
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="claim-answer"):
-    """Whether a key was free, and if not, what became of its request."""
+    """Answer to a claim: whether the key was free, or else the state of its request."""
 
     fresh: bool
     code: int = 0
@@ -194,7 +194,7 @@
     Errors
     ------
     COMMAND_INVALID
-        The bytes are no command of this release.
+        The bytes are not a command that this release knows.
     """
     try:
         return Ok(_command_decoder.decode(data))
--- a/src/leadhollow/state/disk_thread.py
+++ b/src/leadhollow/state/disk_thread.py
@@ -1,4 +1,4 @@
-"""Runs work on a disk in a thread of its own."""
+"""Disk work in a separate thread, for code that must not block the event loop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DiskThread:
-    """One thread, so that work on the disk is done in the order it was asked for."""
+    """Runs disk work in a single thread, in the order of the calls."""
 
     __slots__ = ("_busy_since_s", "_executor", "_pending")
 
@@ -24,18 +24,18 @@
 
     @property
     def busy_s(self) -> float:
-        """Heard time that the work in progress has taken so far; 0 where there is none."""
+        """Active time in seconds since the disk became busy; 0 if no work is pending."""
         if self._busy_since_s is None:
             return 0.0
-        return active_time.active_s() - self._busy_since_s
+        return active_time.heard_s() - self._busy_since_s
 
     async def run(self, work: Callable[[], DiskAnswer]) -> DiskAnswer:
-        """Run work and wait for it; a cancelled caller still waits for its end."""
+        """Run work in the thread and wait for its result; a cancelled caller waits for it, too."""
         loop = asyncio.get_running_loop()
         running = loop.run_in_executor(self._executor, work)
         self._pending += 1
         if self._busy_since_s is None:
-            self._busy_since_s = active_time.active_s()
+            self._busy_since_s = active_time.heard_s()
         running.add_done_callback(self._on_done)
         try:
             return await asyncio.shield(running)
@@ -45,20 +45,20 @@
 
     def _on_done(self, running: asyncio.Future[DiskAnswer]) -> None:
         self._pending -= 1
-        self._busy_since_s = active_time.active_s() if self._pending else None
+        self._busy_since_s = active_time.heard_s() if self._pending else None
 
     async def stop(self) -> None:
-        """Wait for the work in progress while the loop goes on, and end the thread."""
+        """Wait for pending work without blocking the event loop, then stop the thread."""
         if self._pending:
-            await self.run(_nothing)
+            await self.run(_do_nothing)
         self.close()
 
     def close(self) -> None:
-        """End the thread; waits for work in progress."""
+        """Stop the thread; blocks until pending work is done."""
         self._executor.shutdown(wait=True)
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return
 
 
--- a/src/leadhollow/state/domain_revisions.py
+++ b/src/leadhollow/state/domain_revisions.py
@@ -1,4 +1,4 @@
-"""Which failure domains run which revision, as their own replicas report it."""
+"""Revisions that failure domains have applied, as their domain replicas report them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class DomainReport:
-    """Last report of one failure domain."""
+    """Last report of a failure domain and its arrival time by the loop's clock."""
 
     __slots__ = ("received_s", "report")
 
@@ -20,46 +20,46 @@
 
     @property
     def revision(self) -> int:
-        """Revision that every daemon of the domain runs at least."""
+        """Revision that every daemon of the domain has applied at least."""
         return int(self.report.revision or 0)
 
 
 class DomainRevisions:
-    """Applied revisions by failure domain and reporting replica."""
+    """Last report of each failure domain."""
 
     __slots__ = ("_reports",)
 
     def __init__(self) -> None:
         self._reports: dict[str, DomainReport] = {}
 
-    def note(self, report: DomainApplied) -> None:
-        """Take a report."""
+    def record(self, report: DomainApplied) -> None:
+        """Store a report."""
         self._reports[report.failure_domain] = DomainReport(
             report=report, received_s=asyncio.get_running_loop().time()
         )
 
     def domains(self) -> dict[str, DomainReport]:
-        """Give the last report of each failure domain that ever reported."""
+        """Return the last report of each failure domain that has reported."""
         return dict(self._reports)
 
-    def reachable(self, reach: DomainReport) -> bool:
-        """Tell whether a report is recent enough to count its domain as connected."""
-        return asyncio.get_running_loop().time() - reach.received_s < REPORT_VALID_S
+    def is_connected(self, report: DomainReport) -> bool:
+        """Return whether a report is recent enough to count its domain as connected."""
+        return asyncio.get_running_loop().time() - report.received_s < REPORT_VALID_S
 
     def in_force(self, revision: int, domains: set[str]) -> tuple[set[str], set[str]]:
-        """Split failure domains by whether all their daemons run a revision.
+        """Split failure domains by whether all their daemons have applied a revision.
 
         Returns
         -------
         tuple of set
-            Domains that run it, and those that do not or are cut off.
+            Domains that have applied it; domains that have not, or whose report is outdated.
         """
-        done = set()
+        applied = set()
         for domain in domains:
-            reach = self._reports.get(domain)
-            if reach is not None and self.reachable(reach) and reach.revision >= revision:
-                done.add(domain)
-        return done, domains - done
+            report = self._reports.get(domain)
+            if report is not None and self.is_connected(report) and report.revision >= revision:
+                applied.add(domain)
+        return applied, domains - applied
 
 
-__all__ = ["DomainReach", "DomainRevisions"]
+__all__ = ["DomainReport", "DomainRevisions"]
--- a/src/leadhollow/state/election.py
+++ b/src/leadhollow/state/election.py
@@ -1,4 +1,8 @@
-"""When a replica stands for election, and how it begins with an empty disk."""
+"""Leader election of a replica, including its start with an empty disk.
+
+A replica runs an :class:`Election` for as long as it lives. Votes of other replicas are answered
+in :mod:`leadhollow.state.following`.
+"""
 
 from __future__ import annotations
 
@@ -19,19 +23,19 @@
 
 MAX_TIMEOUT_FACTOR = 1.8
 ELECTION_PROBE_INTERVAL_S = (
-    0.05  # an answer takes a few milliseconds; replicas that start together differ by more
+    0.05  # a reply takes a few milliseconds; start times of replicas differ by more than that
 )
 
 log = get_logger("state")
 
 
 class Election:
-    """Watches for a leader and stands when there is none.
+    """Campaigns for leadership when no leader has been heard for an election timeout.
 
     Parameters
     ----------
     seed
-        Seed of the timeout's random part.
+        Seed of the random part of the election timeout.
     """
 
     __slots__ = ("_leadership", "_random", "_state")
@@ -41,18 +45,18 @@
         self._leadership = leadership
         self._random = random.Random(seed)
 
-    async def run(self, *, fresh: bool) -> None:
-        """Watch for as long as the replica runs.
+    async def run(self, *, empty_disk: bool) -> None:
+        """Run elections until the task is cancelled.
 
         Parameters
         ----------
-        fresh
-            Whether our disk was empty when we started.
+        empty_disk
+            Whether the disk was empty when this replica started.
         """
         state = self._state
-        if fresh and state.fixed_voters:
+        if empty_disk and state.fixed_voters:
             await self._initialise_empty_disk()
-        elif fresh:
+        elif empty_disk:
             await state.save_vote(Vote(term=0, voted_for="", voter=True))
         await self._hold_first_election()
         while True:
@@ -66,7 +70,7 @@
                 await state.recover()
                 continue
             if (
-                active_time.active_s() - state.election_timer_reset_s < timeout_s
+                active_time.heard_s() - state.election_timer_reset_s < timeout_s
                 or not self._may_campaign()
             ):
                 continue
@@ -75,14 +79,14 @@
     async def on_stand_now(
         self, request: StandNow, connection: Connection
     ) -> Result[Done, Failure]:
-        """Stand at once, because the leader is about to stop."""
+        """Campaign at once: the leader is about to stop and hands over its lead."""
         state = self._state
         if (
             request.term == state.term
             and request.leader == state.leader_vm
             and self._may_campaign()
         ):
-            log.info("standing on the leader's word", replica=state.vm, leader=request.leader)
+            log.info("leader hands over: campaigning", replica=state.vm, leader=request.leader)
             await self._campaign(transfer=True)
         return Ok(Done())
 
@@ -92,7 +96,11 @@
         return healthy and state.is_voter and state.vote.voter
 
     async def _initialise_empty_disk(self) -> None:
-        """Find out whether all replicas are new, or ours alone lost its disk."""
+        """Find out whether all replicas are new or only this one lost its disk.
+
+        The vote is created only if all replicas answer and each is empty or at most in term 1.
+        Otherwise the loop ends once a leader is accepted, which writes a blocked vote.
+        """
         state = self._state
         while state.store.vote is None:
             probe = StateProbe(state.vm)
@@ -102,22 +110,24 @@
                     for peer in state.others
                 )
             )
-            answers = [reply.unwrap() for reply in replies if reply.is_ok()]
-            all_new = all(answer.blank or answer.term <= 1 for answer in answers)
-            if len(answers) == len(state.others) and all_new:
+            probes = [reply.unwrap() for reply in replies if reply.is_ok()]
+            all_new = all(found.blank or found.term <= 1 for found in probes)
+            if len(probes) == len(state.others) and all_new:
                 await state.transitions.run(self._initialise_vote)
                 return
-            if any(not answer.blank for answer in answers):
-                log.warning("this replica's disk is empty, it learns before it votes")
+            if any(not found.blank for found in probes):
+                log.warning(
+                    "disk is empty while other replicas have state: not voting until caught up"
+                )
             await asyncio.sleep(state.timing.heartbeat_ms / 1000)
 
     async def _hold_first_election(self) -> None:
-        """Stand at once where every voter has just started too, so that nobody can lead.
+        """Campaign without waiting for the election timeout if all voters have just started.
 
-        A voter that has restarted may have forgotten a leader whose lease still counts on its
-        answer. That is why it grants no vote for a timeout, unless the leader itself asks for it.
-        Where all voters answer that they know no leader, there is none that a lease could belong
-        to. Of those that stand, only one with the longest log does, lest votes be split.
+        A restarted voter may have forgotten a leader whose lease still relies on that voter's
+        acknowledgement. It therefore grants no vote for one election timeout, unless the leader
+        itself requested the election. If all voters answer that they know no leader, no lease
+        can be valid. Only a replica with the longest log campaigns, to avoid a split vote.
         """
         state = self._state
         began_s = now_s()
@@ -134,12 +144,13 @@
             await asyncio.sleep(ELECTION_PROBE_INTERVAL_S)
 
     async def _no_leader_known(self) -> bool:
-        """Tell whether all voters answer, know no leader, and hold no longer log than ours.
+        """Return whether all voters answer, know no leader and have no longer log than this one.
 
-        One with an empty disk has lost its vote, and cannot lead: what led at its address is gone.
+        A replica with an empty disk cannot vote or lead. A leader that ran at its address has
+        lost its state and no longer leads, so the empty replica does not block the election.
         """
         state = self._state
-        able = 1
+        able_voters = 1
         probe = StateProbe(state.vm)
         others = state.others
         replies = await asyncio.gather(
@@ -148,26 +159,34 @@
         for peer, reply in zip(others, replies, strict=True):
             if reply.is_err():
                 return False
-            answer = reply.unwrap()
-            if answer.leader or answer.term > state.term:
+            found = reply.unwrap()
+            if found.leader or found.term > state.term:
                 return False
-            if answer.blank:
+            if found.blank:
                 continue
-            able += 1
-            if (answer.last_index, peer.replica) > (state.store.last_index, state.vm):
+            able_voters += 1
+            if (found.last_index, peer.replica) > (state.store.last_index, state.vm):
                 return False
-        return able >= quorum_size(len(others) + 1)
+        return able_voters >= quorum_size(len(others) + 1)
 
     async def _initialise_vote(self) -> None:
         state = self._state
         if state.store.vote is None:
-            log.info("all replicas are new, state begins")
+            log.info("all replicas are new: starting at term 1")
             await state.save_vote(Vote(term=1, voted_for="", voter=True))
 
     async def _campaign(self, *, transfer: bool = False) -> None:
+        """Run for leader in a new term.
+
+        Parameters
+        ----------
+        transfer
+            Whether to skip the pre-vote and the check for a live leader: the leader itself
+            requested the election, or no voter knows a leader.
+        """
         state = self._state
         if not transfer and not await self._request_votes(state.term + 1, pre_vote=True):
-            state.election_timer_reset_s = active_time.active_s()
+            state.election_timer_reset_s = active_time.heard_s()
             return
         term = await state.transitions.run(lambda: self._start_candidacy(transfer=transfer))
         if term is None:
@@ -176,13 +195,19 @@
         if won and state.term == term and state.role is ReplicaRole.CANDIDATE:
             self._leadership.start()
         else:
-            state.election_timer_reset_s = active_time.active_s()
+            state.election_timer_reset_s = active_time.heard_s()
 
     async def _start_candidacy(self, *, transfer: bool) -> int | None:
-        """Begin a term as its candidate; None where somebody leads or the disk fails."""
+        """Start a new term as candidate and vote for this replica.
+
+        Returns
+        -------
+        int or None
+            The new term; None if a leader was heard meanwhile or the vote could not be written.
+        """
         state = self._state
-        heard = state.leader_heard_recently() and not transfer
-        if heard or state.role is ReplicaRole.LEADER:
+        leader_alive = state.leader_heard_recently() and not transfer
+        if leader_alive or state.role is ReplicaRole.LEADER:
             return None
         term = state.term + 1
         if not await state.save_vote(Vote(term=term, voted_for=state.vm, voter=True)):
@@ -192,6 +217,13 @@
         return term
 
     async def _request_votes(self, term: int, *, pre_vote: bool, transfer: bool = False) -> bool:
+        """Ask all other voters for their votes; return whether a majority grants them.
+
+        Parameters
+        ----------
+        pre_vote
+            Whether to ask only if they would vote; a voter then records nothing.
+        """
         state = self._state
         store = state.store
         needed = quorum_size(len(state.voters.current)) - 1
@@ -209,19 +241,19 @@
                 transfer or None,
                 peer.replica,
             )
-            asked = state.peers.call(peer.address, request, timeout_ms=timeout_ms)
-            calls.append(asyncio.ensure_future(asked))
+            call = state.peers.call(peer.address, request, timeout_ms=timeout_ms)
+            calls.append(asyncio.ensure_future(call))
         granted = 0
         try:
-            for call in asyncio.as_completed(calls):
-                reply = await call
+            for completed in asyncio.as_completed(calls):
+                reply = await completed
                 if reply.is_err():
                     continue
-                answer = reply.unwrap()
-                if answer.term > term:
-                    await state.adopt_term(answer.term)
+                vote_reply = reply.unwrap()
+                if vote_reply.term > term:
+                    await state.adopt_term(vote_reply.term)
                     return False
-                granted += 1 if answer.granted else 0
+                granted += 1 if vote_reply.granted else 0
                 if granted >= needed:
                     return True
         finally:
--- a/src/leadhollow/state/files.py
+++ b/src/leadhollow/state/files.py
@@ -1,4 +1,4 @@
-"""Files that last once they are synced: checksummed records and whole-file replacement."""
+"""Durable files: checksummed records and atomic replacement of whole files."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def pack_record(payload: bytes) -> bytes:
-    """Put length and checksum before a payload."""
+    """Prefix a payload with its length and checksum."""
     return RECORD_HEADER.pack(len(payload), zlib.crc32(payload)) + payload
 
 
@@ -28,7 +28,7 @@
     Returns
     -------
     bytes or None
-        The payload, or None where no whole, undamaged record stands.
+        The payload, or None if there is no complete, undamaged record.
     """
     if offset + RECORD_HEADER.size > len(data):
         return None
@@ -41,13 +41,13 @@
 
 
 def has_record_after(data: bytes | memoryview, offset: int) -> bool:
-    """Tell whether any whole record stands after an offset where one is damaged."""
+    """Return whether a complete record follows a damaged one at the offset."""
     view = memoryview(data)
     return any(read_record(view, position) is not None for position in range(offset + 1, len(data)))
 
 
 def replace_file(path: Path, payload: bytes) -> Result[None, Failure]:
-    """Write a file whole, so that a crash leaves the old or the new one.
+    """Replace a file atomically; after a crash either the old or the new content is there.
 
     Errors
     ------
@@ -73,12 +73,12 @@
     Returns
     -------
     Result
-        The payload, or None where there is no such file.
+        The payload, or None if there is no such file.
 
     Errors
     ------
     SNAPSHOT_DAMAGED
-        The file is there but not whole.
+        The file exists but is incomplete or damaged.
     """
     try:
         data = path.read_bytes()
@@ -93,7 +93,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make a rename within a folder last."""
+    """Sync a folder, which makes renames in it durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -103,11 +103,11 @@
 
 __all__ = [
     "FILE_MAGIC",
-    "RECORD_HEAD",
+    "RECORD_HEADER",
     "pack_record",
     "read_file",
-    "record_at",
-    "record_follows",
+    "read_record",
+    "has_record_after",
     "replace_file",
     "sync_folder",
 ]
--- a/src/leadhollow/state/following.py
+++ b/src/leadhollow/state/following.py
@@ -1,4 +1,7 @@
-"""What a replica answers the others: votes, entries, snapshots."""
+"""Handlers of the requests that replicas send to each other: votes, entries, snapshots, probes.
+
+Every replica registers them, whatever its role.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 
 
 class FollowerHandlers:
-    """Handlers of one replica."""
+    """Handles vote, append, snapshot and probe requests for one replica."""
 
     __slots__ = ("_caught_up_target", "_leadership", "_state")
 
@@ -38,7 +41,7 @@
         self._caught_up_target = 0
 
     def register(self, handlers: HandlerTable) -> None:
-        """Answer the other replicas."""
+        """Register the handlers of requests from other replicas."""
         handlers.on_call(VoteRequest, self._on_vote)
         handlers.on_call(AppendRequest, self._on_append)
         handlers.on_call(SnapshotRequest, self._on_snapshot)
@@ -55,13 +58,13 @@
         self, request: VoteRequest, connection: Connection
     ) -> Result[VoteReply, Failure]:
         state = self._state
-        if self._meant_for_another(request.voter):
+        if self._is_misaddressed(request.voter):
             return Err(Failure(code=Code.REPLICA_OTHER))
         if state.failed or state.store.vote is None:
             return Ok(VoteReply(state.term, False))
-        return Ok(await state.transitions.run(lambda: self._answer_vote(request)))
+        return Ok(await state.transitions.run(lambda: self._handle_vote(request)))
 
-    async def _answer_vote(self, request: VoteRequest) -> VoteReply:
+    async def _handle_vote(self, request: VoteRequest) -> VoteReply:
         state = self._state
         granted = self._may_grant(request)
         if not granted or request.pre_vote:
@@ -70,17 +73,17 @@
         vote = Vote(term=request.term, voted_for=request.candidate, voter=True)
         if not await state.save_vote(vote):
             return VoteReply(state.term, False)
-        state.election_timer_reset_s = active_time.active_s()
+        state.election_timer_reset_s = active_time.heard_s()
         return VoteReply(request.term, True)
 
-    def _meant_for_another(self, replica: str | None) -> bool:
-        """Tell whether a request was meant for the disk that this address had before."""
+    def _is_misaddressed(self, replica: str | None) -> bool:
+        """Return whether a request is for the replica whose lost disk this address had before."""
         return bool(replica) and replica != self._state.vm
 
     def _may_grant(self, request: VoteRequest) -> bool:
         state = self._state
         if request.transfer:
-            leader_heard = False  # the leader itself asked this candidate to stand
+            leader_heard = False  # the leader itself requested this election
         elif state.role is ReplicaRole.LEADER:
             leader_heard = self._leadership.lease_valid()
         else:
@@ -104,7 +107,7 @@
         self, request: AppendRequest, connection: Connection
     ) -> Result[AppendReply, Failure]:
         state = self._state
-        if self._meant_for_another(request.replica):
+        if self._is_misaddressed(request.replica):
             return Err(Failure(code=Code.REPLICA_OTHER))
         if state.failed:
             return Err(Failure(code=Code.DISK_FAILED))
@@ -116,28 +119,28 @@
             return Ok(AppendReply(state.term, False, 0))
         snapshot_index = state.store.snapshot.last_index
         if request.previous_index < snapshot_index:
-            return Ok(AppendReply(state.term, True, snapshot_index))  # all of it is committed
+            return Ok(AppendReply(state.term, True, snapshot_index))  # snapshots are committed
         previous_term = state.store.term_at(request.previous_index)
         if previous_term != request.previous_term:
-            hint = min(state.store.last_index, request.previous_index - 1)
-            return Ok(AppendReply(state.term, False, max(hint, snapshot_index)))
+            last_match = min(state.store.last_index, request.previous_index - 1)
+            return Ok(AppendReply(state.term, False, max(last_match, snapshot_index)))
         offered = [Entry(entry.index, entry.term, entry.command) for entry in request.entries]
-        if not await self._take_entries(offered):
+        if not await self._store_entries(offered):
             return Err(Failure(code=Code.DISK_FAILED))
         matched = request.previous_index + len(offered)
         state.advance_commit(min(request.commit_index, matched))
-        await self._maybe_become_voter(request.commit_index, matched)
+        await self._restore_voting(request.commit_index, matched)
         return Ok(AppendReply(state.term, True, matched))
 
     async def _on_snapshot(
         self, request: SnapshotRequest, connection: Connection
     ) -> Result[AppendReply, Failure]:
         state = self._state
-        if self._meant_for_another(request.replica):
+        if self._is_misaddressed(request.replica):
             return Err(Failure(code=Code.REPLICA_OTHER))
-        return await state.transitions.run(lambda: self._take_snapshot(request))
+        return await state.transitions.run(lambda: self._install_snapshot(request))
 
-    async def _take_snapshot(self, request: SnapshotRequest) -> Result[AppendReply, Failure]:
+    async def _install_snapshot(self, request: SnapshotRequest) -> Result[AppendReply, Failure]:
         state = self._state
         if state.failed or not await self._accept_leader(request.term, request.leader):
             return Ok(AppendReply(state.term, False, 0))
@@ -159,6 +162,13 @@
         return Ok(AppendReply(state.term, True, request.last_index))
 
     async def _accept_leader(self, term: int, leader: str) -> bool:
+        """Follow the sender of a request of the current or a later term.
+
+        Returns
+        -------
+        bool
+            False if the term is outdated or could not be written to disk.
+        """
         state = self._state
         if term < state.term:
             return False
@@ -169,12 +179,18 @@
                 return False
         if state.role is not ReplicaRole.FOLLOWER or state.leader_vm != leader:
             state.become_follower(leader)
-        state.election_timer_reset_s = active_time.active_s()
+        state.election_timer_reset_s = active_time.heard_s()
         state.leader_heard_s = now_s()
         return True
 
-    async def _take_entries(self, offered: list[Entry]) -> bool:
-        """Replace what conflicts with the leader's log and add what is missing."""
+    async def _store_entries(self, offered: list[Entry]) -> bool:
+        """Cut off entries that conflict with the leader's log and append the missing ones.
+
+        Returns
+        -------
+        bool
+            False if the disk failed.
+        """
         store = self._state.store
         offered = [entry for entry in offered if entry.index > store.snapshot.last_index]
         if not offered:
@@ -187,9 +203,9 @@
         )
         if conflict is not None:
             index = start + conflict
-            cut = await self._state.disk.run(lambda: store.truncate_from(index))
-            if cut.is_err():
-                self._state.fail(cut.unwrap_err())
+            truncated = await self._state.disk.run(lambda: store.truncate_from(index))
+            if truncated.is_err():
+                self._state.fail(truncated.unwrap_err())
                 return False
             self._state.revert_voter_changes(index)
         missing = [entry for entry in offered if entry.index > store.last_index]
@@ -202,8 +218,11 @@
         self._state.apply_voter_changes(missing)
         return True
 
-    async def _maybe_become_voter(self, leader_commit: int, matched: int) -> None:
-        """Vote again once all that was committed when the leader found us is here."""
+    async def _restore_voting(self, leader_commit: int, matched: int) -> None:
+        """Let this replica vote again once it has caught up after the loss of its disk.
+
+        The target is the leader's commit index at the first append request since the start.
+        """
         state = self._state
         if state.vote.voter:
             return
@@ -211,7 +230,7 @@
             self._caught_up_target = max(leader_commit, 1)
         target = self._caught_up_target
         if matched >= target and state.commit_index >= target:
-            log.info("replica has caught up and may vote again", index=matched)
+            log.info("caught up after the loss of the disk: voting again", index=matched)
             await state.save_vote(Vote(term=state.term, voted_for=VOTE_BLOCKED, voter=True))
 
 
--- a/src/leadhollow/state/gateway.py
+++ b/src/leadhollow/state/gateway.py
@@ -1,4 +1,4 @@
-"""Reaches the leader from any replica: proposals, and reads that a majority confirmed."""
+"""Access to the leader from any replica: proposals and linearizable reads."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from leadhollow.failure import Failure
 from leadhollow.kernel.active_time import active_s, active_timeout
 from leadhollow.state.commands import AnyAnswer, Command, decode_answer, decode_command, encode
-from leadhollow.state.replica import Applied, Replica, ReplicaRole
+from leadhollow.state.replica import AppliedCommand, Replica, ReplicaRole
 from leadhollow.wire.connection import Connection
 from leadhollow.wire.generated.ttypes import (
     ProposeReply,
@@ -27,7 +27,7 @@
 
 
 class LeaderGateway:
-    """Proposes and reads through whichever replica leads now."""
+    """Proposes commands and confirms reads through the current leader."""
 
     __slots__ = ("_peers", "_replica")
 
@@ -38,7 +38,7 @@
         handlers.on_call(ReadIndexRequest, self._on_read_index)
 
     async def propose(self, command: Command, *, timeout_s: float) -> Result[AnyAnswer, Failure]:
-        """Have a command committed, whoever leads.
+        """Propose a command through the current leader and wait until it is committed.
 
         The command must be safe to repeat: it may be written more than once.
 
@@ -49,10 +49,10 @@
         NO_MAJORITY
             Nothing was written.
         """
-        deadline_s = active_s() + timeout_s
+        deadline_s = heard_s() + timeout_s
         may_be_written = False
         while True:
-            left_s = deadline_s - active_s()
+            left_s = deadline_s - heard_s()
             if left_s <= 0:
                 code = Code.EDIT_UNKNOWN if may_be_written else Code.NO_MAJORITY
                 return Err(Failure(code=code))
@@ -67,36 +67,36 @@
             await asyncio.sleep(RETRY_PAUSE_S)
 
     async def confirm(self, *, timeout_s: float) -> Result[None, Failure]:
-        """Make sure that this replica has applied all that was acknowledged before the call.
+        """Wait until this replica has applied all that was acknowledged before the call.
 
         Errors
         ------
         READ_UNCONFIRMED
-            No leader with a majority answered in time, or we lag too far behind it.
+            No leader with a majority answered in time, or this replica did not catch up in time.
         """
-        deadline_s = active_s() + timeout_s
-        while active_s() < deadline_s:
-            index = await self._read_index(deadline_s - active_s())
+        deadline_s = heard_s() + timeout_s
+        while heard_s() < deadline_s:
+            index = await self._read_index(deadline_s - heard_s())
             if index is None:
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             while self._replica.applied_index < index:
-                if active_s() >= deadline_s:
+                if heard_s() >= deadline_s:
                     return Err(Failure(code=Code.READ_UNCONFIRMED))
                 await asyncio.sleep(APPLY_POLL_S)
             return Ok(None)
         return Err(Failure(code=Code.READ_UNCONFIRMED))
 
     def term(self) -> int:
-        """Give the current term."""
+        """Return the current term."""
         return self._replica.term
 
     def leads_since_s(self) -> float | None:
-        """Give when this replica came to lead, None where it does not surely lead now."""
+        """Return the time at which this replica was elected, None if it is not a ready leader."""
         return self._replica.leader_since_s if self._replica.ready() else None
 
     def leader_address(self) -> str | None:
-        """Give where the leader is reached, None where it is not known."""
+        """Return the address of the leader, None if the leader is unknown."""
         for voter in self._replica.voters.voters:
             if voter.replica == self._replica.leader_vm:
                 return voter.address
@@ -104,7 +104,7 @@
 
     async def _propose_once(self, command: Command, left_s: float) -> Result[AnyAnswer, Failure]:
         if self._replica.role is ReplicaRole.LEADER:
-            applied = await self._propose_here(command, left_s)
+            applied = await self._propose_local(command, left_s)
             return Ok(applied.unwrap().answer) if applied.is_ok() else Err(applied.unwrap_err())
         leader = self.leader_address()
         if leader is None:
@@ -118,7 +118,9 @@
             return Err(reply.unwrap_err())
         return decode_answer(reply.unwrap().answer)
 
-    async def _propose_here(self, command: Command, left_s: float) -> Result[Applied, Failure]:
+    async def _propose_local(
+        self, command: Command, left_s: float
+    ) -> Result[AppliedCommand, Failure]:
         try:
             async with active_timeout(left_s):
                 return await self._replica.propose(command)
--- a/src/leadhollow/state/identity.py
+++ b/src/leadhollow/state/identity.py
@@ -1,4 +1,4 @@
-"""Identity of a replica's disk, made when the disk is first used."""
+"""Identity of a replica's disk, created when the disk is first used."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class Identity(msgspec.Struct, frozen=True, kw_only=True):
-    """Who a replica is.
+    """Identity of a replica, stored on its disk.
 
     Parameters
     ----------
     replica
         Unique for each disk that was ever used.
     first_voters
-        The set that the log began with; empty for a replica that joined later.
+        Voter set with which the log started; empty for a replica that joined later.
     """
 
     replica: str
@@ -36,22 +36,22 @@
 def load_identity(
     folder: Path, *, own_address: str, seeds: tuple[Voter, ...], first_start: bool
 ) -> Result[Identity, Failure]:
-    """Read the identity of a folder, or make one and sync it.
+    """Read the identity in a folder, or create one and sync it.
 
     Parameters
     ----------
     seeds
-        The voters of a system that starts for the first time.
+        Voters at the first start of the system.
     first_start
-        Whether this is that start. Only then may a seed take the name that the others know it
-        by; a disk that was lost since gets a new one and has to join.
+        Whether this is the first start. Only then does a seed get the identity by which the other
+        seeds know it. If its disk is lost later, it gets a new identity and must join.
 
     Errors
     ------
     DISK_FAILED
         The folder cannot be read or written.
     IDENTITY_DAMAGED
-        The file is there but not whole.
+        The file exists but is incomplete or damaged.
     """
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -64,17 +64,17 @@
     payload = read.unwrap()
     if payload is not None:
         return _decode(payload)
-    identity = _make(own_address=own_address, seeds=seeds, first_start=first_start)
+    identity = _create_identity(own_address=own_address, seeds=seeds, first_start=first_start)
     written = replace_file(folder / IDENTITY_FILE, msgspec.msgpack.encode(identity))
     return Err(written.unwrap_err()) if written.is_err() else Ok(identity)
 
 
 def seed_voter(address: str, failure_domain: str = "") -> Voter:
-    """Give the voter that a seed is at the first start."""
+    """Return the voter of a seed at the first start."""
     return Voter(replica=f"{SEED_PREFIX}{address}", address=address, failure_domain=failure_domain)
 
 
-def _make(*, own_address: str, seeds: tuple[Voter, ...], first_start: bool) -> Identity:
+def _create_identity(*, own_address: str, seeds: tuple[Voter, ...], first_start: bool) -> Identity:
     own = next((seed for seed in seeds if seed.address == own_address), None)
     if first_start and own is not None:
         return Identity(replica=own.replica, first_voters=seeds)
--- a/src/leadhollow/state/join_service.py
+++ b/src/leadhollow/state/join_service.py
@@ -1,4 +1,7 @@
-"""How a replica that is no voter finds the leader, and what replicas answer those that look."""
+"""Join requests: how a replica without a leader finds one, and how replicas answer it.
+
+Used where the log itself changes the voter set, that is where replicas are found from seeds.
+"""
 
 from __future__ import annotations
 
@@ -20,20 +23,20 @@
 
 JOIN_INTERVAL_S = 0.4
 JOIN_TIMEOUT_MS = 800
-LEADER_SILENT_S = 1.0  # a voter hears from its leader several times in it
+LEADER_SILENT_S = 1.0  # several heartbeats of a leader
 
 log = get_logger("joining")
 
 
 class JoinService(TaskService):
-    """Asks for a place among the replicas for as long as ours gets nothing of the log.
+    """Sends join requests while no leader replicates the log to this replica.
 
     Parameters
     ----------
     own
-        Identity and address under which others reach us.
+        Identity, address and failure domain of this replica.
     known
-        Gives addresses at which replicas may be found.
+        Returns addresses at which replicas may run.
     """
 
     __slots__ = ("_known_addresses", "_own", "_peers", "_replica")
@@ -61,7 +64,10 @@
                 await self._request_join()
 
     def _needs_leader(self) -> bool:
-        """Tell whether nobody sends us the log: we vote no more, perhaps without knowing it."""
+        """Return whether no leader replicates to this replica.
+
+        A removed voter may not have the entry that removed it, but it hears no leader any more.
+        """
         if self._own.replica not in self._replica.voters:
             return True
         return self._replica.leader_silence_s > LEADER_SILENT_S
@@ -92,8 +98,8 @@
             address=request.address,
             failure_domain=request.failure_domain,
         )
-        leads = replica.role is ReplicaRole.LEADER
-        if leads:
+        is_leader = replica.role is ReplicaRole.LEADER
+        if is_leader:
             replica.leadership.add_learner(peer)
         voters = replica.voters
         leader = next(
@@ -101,11 +107,11 @@
         )
         return Ok(
             JoinReply(
-                self._own.address if leads else leader,
+                self._own.address if is_leader else leader,
                 [voter.address for voter in voters.voters],
                 request.replica in voters,
             )
         )
 
 
-__all__ = ["Joining"]
+__all__ = ["JoinService"]
--- a/src/leadhollow/state/leadership.py
+++ b/src/leadhollow/state/leadership.py
@@ -1,4 +1,8 @@
-"""What a leader does: group commit, replication, its own lease."""
+"""The leader's work: group commit, replication to followers, and the leader lease.
+
+The leader lease lasts one election timeout after the latest time at which a majority followed
+this leader. No other replica can be elected before it ends.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +38,8 @@
 )
 
 ENTRIES_PER_APPEND = 256
-LEARNER_TIMEOUT_S = 10.0  # a learner that asks no more is not replicated to
-DISK_STALL_S = 0.4  # far above any sync seen (0.5 ms, 12 ms on a slow disk)
+LEARNER_TIMEOUT_S = 10.0  # replication to a learner stops this long after its last join request
+DISK_STALL_S = 0.4  # far above the time of a sync: 0.5 ms, on a slow disk 12 ms
 
 log = get_logger("state")
 
@@ -43,34 +47,40 @@
 class _Proposal:
     __slots__ = ("command", "done")
 
-    def __init__(self, *, command: Command, done: asyncio.Future[Result[Applied, Failure]]) -> None:
+    def __init__(
+        self, *, command: Command, done: asyncio.Future[Result[AppliedCommand, Failure]]
+    ) -> None:
         self.command = command
         self.done = done
 
 
 class FollowerProgress:
-    """What a leader knows of another replica.
+    """What the leader knows of another replica's log and when it last answered.
 
     Parameters
     ----------
+    peer
+        The other replica, a voter or a learner.
     next_index
-        First entry to send.
+        Index of the first entry to send.
 
     Attributes
     ----------
+    match_index
+        Highest index up to which its log is known to match the leader's.
     acknowledged_s
-        When the last request was sent that it answered, by the clock of leads.
-    answered_s
-        The same by the heard clock.
-    asked_s
-        Heard time at which it last asked to learn.
+        Send time of the last request that it answered, see :func:`now_s`.
+    acknowledged_active_s
+        The same in active time.
+    last_join_s
+        Active time of its last join request.
     """
 
     __slots__ = (
+        "acknowledged_active_s",
         "acknowledged_s",
-        "answered_s",
-        "asked_s",
-        "match",
+        "last_join_s",
+        "match_index",
         "next_index",
         "peer",
         "task",
@@ -79,21 +89,27 @@
     def __init__(self, *, peer: Voter, next_index: int) -> None:
         self.peer = peer
         self.next_index = next_index
-        self.match = 0
+        self.match_index = 0
         self.acknowledged_s = 0.0
-        self.answered_s = 0.0
-        self.asked_s = 0.0
+        self.acknowledged_active_s = 0.0
+        self.last_join_s = 0.0
         self.task: asyncio.Task[None] | None = None
 
 
 class Leadership:
-    """The leader's part of a replica; idle while another one leads."""
+    """The leader role of a replica; idle while another replica leads.
+
+    Attributes
+    ----------
+    since_s
+        Time at which this replica was last elected, see :func:`now_s`.
+    """
 
     __slots__ = (
-        "_followers",
         "_active_since_s",
-        "_proposals",
         "_confirmations",
+        "_followers",
+        "_proposals",
         "_state",
         "_tasks",
         "_transferring",
@@ -104,7 +120,7 @@
 
     def __init__(self, *, state: ReplicaState) -> None:
         self._state = state
-        self._followers: dict[str, Follower] = {}
+        self._followers: dict[str, FollowerProgress] = {}
         self._proposals: list[_Proposal] = []
         self._confirmations: list[tuple[float, asyncio.Future[bool]]] = []
         self._wake_writer = asyncio.Event()
@@ -112,59 +128,65 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._transferring = False
         self.since_s = 0.0
-        self._active_since_s = 0.0  # the same by the heard clock
+        self._active_since_s = 0.0  # since_s in active time
         state.on_step_down(self.stop)
         state.on_voters_changed(self.sync_followers)
 
     def lease_valid(self) -> bool:
-        """Tell whether we lead and no other replica can have been elected yet."""
+        """Return whether this replica leads and no other one can have been elected."""
         state = self._state
         if state.role is not ReplicaRole.LEADER or self._transferring:
             return False
         return now_s() < self._majority_acknowledged_s() + state.election_timeout_s
 
     def check_quorum(self, timeout_s: float) -> None:
-        """Step down where no majority has answered for long, or our own disk hangs.
+        """Step down if the disk hangs, this replica is no longer a voter, or no majority answers.
+
+        A stall of the event loop ends the lease, as the lease counts elapsed time. The silence of
+        the majority is measured in active time, since no answer can be read during a stall.
 
-        Being held up ends the lease; that nobody answers is judged by the time we could hear.
+        Parameters
+        ----------
+        timeout_s
+            Shortest time of leadership after which silence counts, in active time.
         """
         state = self._state
         if state.disk.busy_s > DISK_STALL_S:
-            log.warning("leader steps down, its disk hangs", busy_s=round(state.disk.busy_s, 3))
+            log.warning("leader steps down: disk hangs", busy_s=round(state.disk.busy_s, 3))
             state.become_follower("")
         elif not state.is_voter and state.commit_index >= state.voters.current.index:
-            log.info("leader steps down, it votes no more", term=state.term)
+            log.info("leader steps down: removed from the voter set", term=state.term)
             state.become_follower("")
         elif not self.lease_valid() and self._majority_silent(timeout_s):
-            log.warning("leader steps down, no majority answers", term=state.term)
+            log.warning("leader steps down: no answer from a majority", term=state.term)
             state.become_follower("")
 
-    async def propose(self, command: Command) -> Result[Applied, Failure]:
-        """Put a command into the log and wait until it is applied.
+    async def propose(self, command: Command) -> Result[AppliedCommand, Failure]:
+        """Append a command to the log and wait until it is applied.
 
         Errors
         ------
         NOT_LEADER
-            Nothing was written here.
+            Nothing was written.
         EDIT_UNKNOWN
-            We lost the lead before the entry was committed; it may still be.
+            The lead was lost before the entry was committed; it may still be committed.
         """
         if self._state.role is not ReplicaRole.LEADER or self._state.failed or self._transferring:
             return Err(Failure(code=Code.NOT_LEADER))
         return await self._enqueue(command)
 
     async def confirm_leadership(self, timeout_s: float) -> Result[int, Failure]:
-        """Make sure that we still lead by a round trip to a majority that begins now.
+        """Confirm the leadership by a round trip to a majority that starts now.
 
         Returns
         -------
         Result
-            The commit index that covers everything acknowledged before the call.
+            Commit index that covers everything acknowledged before the call.
 
         Errors
         ------
         NOT_LEADER
-            We do not lead, or have not committed an entry of our own term yet.
+            This replica does not lead or has not yet committed an entry of its term.
         NO_MAJORITY
             No majority answered in time.
         """
@@ -174,9 +196,9 @@
         index = state.commit_index
         if state.store.term_at(index) != state.term:
             return Err(Failure(code=Code.NOT_LEADER, detail="the term has not begun yet"))
-        asked_s = now_s()
+        started_s = now_s()
         confirmed: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._confirmations.append((asked_s, confirmed))
+        self._confirmations.append((started_s, confirmed))
         self._resolve_confirmations()
         self._wake_all_followers()
         try:
@@ -187,27 +209,36 @@
         return Ok(index) if leads else Err(Failure(code=Code.NOT_LEADER))
 
     def add_learner(self, peer: Voter) -> None:
-        """Replicate to a replica that is no voter (yet) for as long as it keeps asking."""
+        """Replicate to a learner for as long as it sends join requests."""
         if self._state.role is not ReplicaRole.LEADER or peer.replica == self._state.vm:
             return
         follower = self._followers.get(peer.replica)
         if follower is None:
-            log.info("learner found", replica=peer.replica, address=peer.address)
+            log.info("learner added", replica=peer.replica, address=peer.address)
             follower = self._add_follower(peer)
-        follower.asked_s = active_time.active_s()
+        follower.last_join_s = active_time.heard_s()
 
-    def followers(self) -> list[Follower]:
-        """Give what is known of the other replicas."""
+    def followers(self) -> list[FollowerProgress]:
+        """Return the progress of the other replicas."""
         return list(self._followers.values())
 
     def silence_s(self, replica: str) -> float:
-        """Tell for how long a replica has not answered; at most as long as we lead."""
+        """Return how long a replica has not answered, at most the time since the election.
+
+        Counted in active time, in seconds.
+        """
         follower = self._followers.get(replica)
-        answered_s = 0.0 if follower is None else follower.answered_s
-        return active_time.active_s() - max(answered_s, self._active_since_s)
+        answered_s = 0.0 if follower is None else follower.acknowledged_active_s
+        return active_time.heard_s() - max(answered_s, self._active_since_s)
 
     async def transfer_leadership(self, timeout_s: float) -> bool:
-        """Let a caught-up voter lead in our place; True once somebody else leads."""
+        """Hand the lead over to a voter whose log is complete.
+
+        Returns
+        -------
+        bool
+            Whether this replica does not lead any more.
+        """
         state = self._state
         if state.role is not ReplicaRole.LEADER:
             return True
@@ -215,23 +246,23 @@
         deadline_s = now_s() + timeout_s
         term = state.term
         while now_s() < deadline_s and state.role is ReplicaRole.LEADER:
-            heir = self._transfer_target()
-            if heir is not None:
+            target = self._transfer_target()
+            if target is not None:
                 request = StandNow(term, state.vm)
-                await state.peers.call(heir.address, request, timeout_ms=timeout_s * 1000)
+                await state.peers.call(target.address, request, timeout_ms=timeout_s * 1000)
             await asyncio.sleep(state.timing.heartbeat_ms / 4000)
         self._transferring = False
         return state.role is not ReplicaRole.LEADER
 
     def start(self) -> None:
-        """Lead the current term."""
+        """Start to lead in the current term."""
         state = self._state
         last_index = state.store.last_index
         log.info("elected leader", vm=state.vm, term=state.term, last_index=last_index)
         state.role = ReplicaRole.LEADER
         state.leader_vm = state.vm
         self.since_s = now_s()
-        self._active_since_s = active_time.active_s()
+        self._active_since_s = active_time.heard_s()
         self._transferring = False
         self._followers = {}
         self._proposals = []
@@ -244,7 +275,7 @@
         self.sync_followers()
 
     def stop(self) -> None:
-        """Stop leading; proposals that were not committed are answered as such."""
+        """Stop leading and fail all proposals and confirmations that are pending."""
         current = asyncio.current_task()
         followers = [follower.task for follower in self._followers.values()]
         for task in [*self._tasks, *followers]:
@@ -263,8 +294,10 @@
                 confirmed.set_result(False)
         self._confirmations = []
 
-    def _enqueue(self, command: Command) -> asyncio.Future[Result[Applied, Failure]]:
-        done: asyncio.Future[Result[Applied, Failure]] = asyncio.get_running_loop().create_future()
+    def _enqueue(self, command: Command) -> asyncio.Future[Result[AppliedCommand, Failure]]:
+        done: asyncio.Future[Result[AppliedCommand, Failure]] = (
+            asyncio.get_running_loop().create_future()
+        )
         self._proposals.append(_Proposal(command=command, done=done))
         self._wake_writer.set()
         return done
@@ -275,25 +308,25 @@
     def _transfer_target(self) -> Voter | None:
         for voter in self._state.others:
             follower = self._followers.get(voter.replica)
-            if follower is not None and follower.match == self._state.store.last_index:
+            if follower is not None and follower.match_index == self._state.store.last_index:
                 return voter
         return None
 
     def sync_followers(self) -> None:
-        """Replicate to each voter, and end with replicas that are neither voter nor learner."""
+        """Start replication to new voters and stop it for replicas that have left."""
         if self._state.role is not ReplicaRole.LEADER:
             return
         for voter in self._state.others:
             if voter.replica not in self._followers:
                 self._add_follower(voter)
         for replica, follower in list(self._followers.items()):
-            asks = active_time.active_s() - follower.asked_s < LEARNER_TIMEOUT_S
-            if replica not in self._state.voters.current and not asks:
+            joining = active_time.heard_s() - follower.last_join_s < LEARNER_TIMEOUT_S
+            if replica not in self._state.voters.current and not joining:
                 del self._followers[replica]
                 if follower.task is not None:
                     follower.task.cancel()
 
-    def _add_follower(self, peer: Voter) -> Follower:
+    def _add_follower(self, peer: Voter) -> FollowerProgress:
         follower = FollowerProgress(peer=peer, next_index=self._state.store.last_index + 1)
         self._followers[peer.replica] = follower
         running: list[asyncio.Task[None]] = []
@@ -302,7 +335,7 @@
         return follower
 
     async def _write_proposals(self, term: int) -> None:
-        """Group commit: all proposals that wait are synced together."""
+        """Write pending proposals to the log: all that wait are synced together (group commit)."""
         state = self._state
         while self._leads(term):
             await self._wake_writer.wait()
@@ -315,7 +348,7 @@
             self._advance_commit(term)
 
     async def _write_batch(self, term: int) -> bool:
-        """Sync what waits; False where we lead no more."""
+        """Append and sync the next proposals; False if the lead is lost or the disk failed."""
         state = self._state
         if not self._leads(term):
             return False
@@ -343,11 +376,11 @@
         self._wake_followers.set()
         self._wake_followers = asyncio.Event()
 
-    async def _replicate(self, follower: Follower, term: int) -> None:
-        """Keep one follower up to date; the one task of that peer."""
+    async def _replicate(self, follower: FollowerProgress, term: int) -> None:
+        """Replicate the log to one follower until the term ends."""
         while self._leads(term):
             wake = self._wake_followers
-            sent_s, sent_heard_s = now_s(), active_time.active_s()
+            sent_s, sent_active_s = now_s(), active_time.heard_s()
             reply = await self._send(follower, term)
             if not self._leads(term):
                 return
@@ -356,7 +389,7 @@
                     await self._state.adopt_term(reply.term)
                     return
                 follower.acknowledged_s = sent_s
-                follower.answered_s = sent_heard_s
+                follower.acknowledged_active_s = sent_active_s
                 self._resolve_confirmations()
                 self._update_match(follower, reply, term)
                 if follower.next_index <= self._state.store.last_index:
@@ -367,7 +400,7 @@
             except TimeoutError:
                 continue
 
-    async def _send(self, follower: Follower, term: int) -> AppendReply | None:
+    async def _send(self, follower: FollowerProgress, term: int) -> AppendReply | None:
         state = self._state
         next_index = follower.next_index
         previous_term = state.store.term_at(next_index - 1)
@@ -401,33 +434,43 @@
         reply = await state.peers.call(address, request, timeout_ms=CALL_TIMEOUT_MS)
         return reply.unwrap() if reply.is_ok() else None
 
-    def _update_match(self, follower: Follower, reply: AppendReply, term: int) -> None:
+    def _update_match(self, follower: FollowerProgress, reply: AppendReply, term: int) -> None:
         if not reply.success:
             follower.next_index = max(min(follower.next_index - 1, reply.match_index + 1), 1)
             return
-        follower.match = max(follower.match, reply.match_index)
-        follower.next_index = follower.match + 1
+        follower.match_index = max(follower.match_index, reply.match_index)
+        follower.next_index = follower.match_index + 1
         self._advance_commit(term)
 
     def _majority_acknowledged_s(self) -> float:
-        """Give the time since which a majority of the voters is known to follow us."""
+        """Return the latest time at which a majority of voters is known to have followed."""
         return self._majority_time_s(now_s(), lambda follower: follower.acknowledged_s)
 
     def _majority_silent(self, timeout_s: float) -> bool:
-        """Tell whether a majority was silent for as long as we could have heard it."""
-        heard_s = active_time.active_s()
-        if heard_s <= self._active_since_s + timeout_s:
+        """Return whether no majority has answered for an election timeout of active time."""
+        active_s = active_time.heard_s()
+        if active_s <= self._active_since_s + timeout_s:
             return False
-        answered_s = self._majority_time_s(heard_s, lambda follower: follower.answered_s)
-        return self._transferring or heard_s >= answered_s + self._state.election_timeout_s
+        answered_s = self._majority_time_s(
+            active_s, lambda follower: follower.acknowledged_active_s
+        )
+        return self._transferring or active_s >= answered_s + self._state.election_timeout_s
 
-    def _majority_time_s(self, own_s: float, told_s: Callable[[Follower], float]) -> float:
-        """Give the latest time that a majority of the voters has reached."""
+    def _majority_time_s(self, own_s: float, time_of: Callable[[FollowerProgress], float]) -> float:
+        """Return the latest time that a majority of the voters has reached.
+
+        Parameters
+        ----------
+        own_s
+            Time that counts for this replica if it is a voter.
+        time_of
+            Returns the time of a follower.
+        """
         state = self._state
         times = [own_s] if state.is_voter else []
         for voter in state.others:
             follower = self._followers.get(voter.replica)
-            times.append(0.0 if follower is None else told_s(follower))
+            times.append(0.0 if follower is None else time_of(follower))
         times.sort(reverse=True)
         needed = quorum_size(len(state.voters.current))
         return times[needed - 1] if len(times) >= needed else 0.0
@@ -437,13 +480,13 @@
             return
         confirmed_s = self._majority_acknowledged_s()
         waiting = []
-        for asked_s, confirmed in self._confirmations:
+        for started_s, confirmed in self._confirmations:
             if confirmed.done():
                 continue
-            if confirmed_s >= asked_s:
+            if confirmed_s >= started_s:
                 confirmed.set_result(True)
             else:
-                waiting.append((asked_s, confirmed))
+                waiting.append((started_s, confirmed))
         self._confirmations = waiting
 
     def _advance_commit(self, term: int) -> None:
@@ -451,7 +494,7 @@
         matches = [state.store.last_index] if state.is_voter else []
         for voter in state.others:
             follower = self._followers.get(voter.replica)
-            matches.append(0 if follower is None else follower.match)
+            matches.append(0 if follower is None else follower.match_index)
         index = committed_index(
             match_indexes=matches,
             current_commit=state.commit_index,
@@ -460,7 +503,7 @@
         )
         if index > state.commit_index:
             state.advance_commit(index)
-            self._wake_all_followers()  # followers learn the commit without waiting a heartbeat
+            self._wake_all_followers()  # sends the commit index before the next heartbeat
 
 
 __all__ = ["FollowerProgress", "Leadership"]
--- a/src/leadhollow/state/leases.py
+++ b/src/leadhollow/state/leases.py
@@ -1,4 +1,7 @@
-"""Leases that the state leader keeps: taken through the log, renewed in its memory."""
+"""Leases granted by the state leader, such as the lease to place models in a failure domain.
+
+A lease is acquired through the replicated log; a renewal only updates the leader's memory.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,20 @@
 from leadhollow.state.records import LeaseRecord
 from leadhollow.state.replica import Replica
 
-CLOCK_DRIFT = 1.05  # a VM's clock may run this much faster than another's
+CLOCK_DRIFT = 1.05  # ratio by which the clock of one VM may run faster than another's
 
 
 class LeaseManager:
-    """Gives and renews leases while this replica leads.
+    """Grants and renews leases while this replica leads.
+
+    A renewal writes no log entry. A new leader does not know when leases were last renewed, so it
+    waits the full duration of a lease after its election before it grants the lease to another
+    holder.
 
-    A renewal costs no log entry. A new leader knows no renewals and waits a whole lease time
-    from its election before it gives a lease away.
+    Parameters
+    ----------
+    ttl_ms
+        Duration of the leases that are granted.
     """
 
     __slots__ = ("_renewed_s", "_replica", "_ttl_ms")
@@ -32,14 +41,19 @@
     async def renew_or_acquire(
         self, *, name: str, holder: str, fence: int
     ) -> Result[LeaseRecord, Failure]:
-        """Renew a lease its holder names by fence, or try to take it with fence 0.
+        """Renew a lease that its holder names by its fence, or try to acquire it.
+
+        Parameters
+        ----------
+        fence
+            Fencing number of the lease to renew; 0 to acquire it.
 
         Errors
         ------
         NOT_LEADER
-            This replica may not decide.
+            This replica does not lead.
         LEASE_HELD
-            Another VM holds it, or may still believe so.
+            Another VM holds the lease or may still assume that it does.
         """
         if not self._replica.ready():
             return Err(Failure(code=Code.NOT_LEADER))
@@ -75,4 +89,4 @@
         return Ok(record)
 
 
-__all__ = ["LeaseKeeper"]
+__all__ = ["LeaseManager"]
--- a/src/leadhollow/state/log_store.py
+++ b/src/leadhollow/state/log_store.py
@@ -1,4 +1,4 @@
-"""The log on disk: entries, the vote, and the latest snapshot."""
+"""Durable storage of one replica: log entries, the vote and the latest snapshot."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log."""
+    """One entry of the replicated log; ``command`` is encoded."""
 
     index: int
     term: int
@@ -40,12 +40,12 @@
 
 
 class Vote(msgspec.Struct, frozen=True, kw_only=True):
-    """What a replica must remember of elections.
+    """Election state that a replica must keep over restarts.
 
     Parameters
     ----------
     voter
-        False for a replica that lost its disk and has not caught up since.
+        False for a replica that has lost its disk and not yet caught up; it must not vote.
     """
 
     term: int = 0
@@ -54,14 +54,20 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """The state machine's whole state after an entry."""
+    """Complete state of the state machine after an entry of the log.
+
+    Parameters
+    ----------
+    last_index, last_term
+        The last entry that the snapshot covers.
+    voters
+        Encoded voter set in force at that entry; empty if the set never changes.
+    """
 
     last_index: int
     last_term: int
     data: bytes
-    voters: bytes = (
-        b""  # the voter set in force at the entry, encoded; empty where it never changes
-    )
+    voters: bytes = b""
 
 
 _entry_decoder = msgspec.msgpack.Decoder(Entry)
@@ -69,11 +75,15 @@
 
 
 class _LogContents:
-    """What the disk holds, in memory.
+    """In-memory copy of the snapshot and the entries on disk.
 
-    Snapshot and entries belong together: a position in the list counts from the snapshot. They are
-    replaced together, as one object, because the event loop reads them while the disk's thread
-    works.
+    Positions in the list of entries count from the snapshot. Both are therefore replaced together,
+    as one object: the event loop reads them while the disk thread writes.
+
+    Parameters
+    ----------
+    offsets
+        File offset of the record of each entry; entries of one write share a record.
     """
 
     __slots__ = ("entries", "offsets", "snapshot")
@@ -85,11 +95,11 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry."""
+        """Index of the last entry, or of the snapshot if there is none."""
         return self.entries[-1].index if self.entries else self.snapshot.last_index
 
     def entry(self, index: int) -> Entry | None:
-        """Give one entry, None where it is not held."""
+        """Return an entry, None if it is not in the log."""
         position = index - self.snapshot.last_index - 1
         if 0 <= position < len(self.entries):
             return self.entries[position]
@@ -97,23 +107,23 @@
 
 
 class LogStore:
-    """Durable log of one replica.
+    """Log, vote and snapshot of one replica, on disk and in memory.
 
-    Every method that writes blocks on the disk: call it from a worker thread.
+    Methods that write block on the disk: call them from a worker thread.
 
     Parameters
     ----------
     folder
-        Where the three files live.
+        Folder of the three files; it is created by :meth:`open`.
     """
 
-    __slots__ = ("_file", "_folder", "_contents", "vote")
+    __slots__ = ("_contents", "_file", "_folder", "vote")
 
     def __init__(self, *, folder: Path) -> None:
         self._folder = folder
         self._file: BinaryIO | None = None
-        nothing = Snapshot(last_index=0, last_term=0, data=b"")
-        self._contents = _LogContents(snapshot=nothing, entries=[], offsets=[])
+        empty = Snapshot(last_index=0, last_term=0, data=b"")
+        self._contents = _LogContents(snapshot=empty, entries=[], offsets=[])
         self.vote: Vote | None = None
 
     @property
@@ -128,7 +138,7 @@
 
     @property
     def never_used(self) -> bool:
-        """Whether this disk never held a replica."""
+        """Whether no replica has ever written to this folder."""
         return self.vote is None and not self.entries and not self.snapshot.last_index
 
     @property
@@ -144,36 +154,36 @@
     @property
     def last_term(self) -> int:
         """Term of the last entry."""
-        image = self._contents
-        return image.entries[-1].term if image.entries else image.snapshot.last_term
+        contents = self._contents
+        return contents.entries[-1].term if contents.entries else contents.snapshot.last_term
 
     def term_at(self, index: int) -> int | None:
-        """Give the term of an entry, None where it is not held."""
-        image = self._contents
-        if index == image.snapshot.last_index:
-            return image.snapshot.last_term
-        entry = image.entry(index)
+        """Return the term of an entry, None if it is not in the log."""
+        contents = self._contents
+        if index == contents.snapshot.last_index:
+            return contents.snapshot.last_term
+        entry = contents.entry(index)
         return None if entry is None else entry.term
 
     def entry(self, index: int) -> Entry | None:
-        """Give one entry, None where it is not held."""
+        """Return an entry, None if it is not in the log."""
         return self._contents.entry(index)
 
     def entries_from(self, index: int, *, limit: int) -> list[Entry]:
-        """Give up to ``limit`` entries from an index on."""
-        image = self._contents
-        position = max(0, index - image.snapshot.last_index - 1)
-        return image.entries[position : position + limit]
+        """Return up to ``limit`` entries from an index on."""
+        contents = self._contents
+        position = max(0, index - contents.snapshot.last_index - 1)
+        return contents.entries[position : position + limit]
 
     def open(self) -> Result[None, Failure]:
-        """Read what the disk holds; a torn tail is cut.
+        """Read vote, snapshot and entries; an incomplete record at the end is cut off.
 
         Errors
         ------
         LOG_DAMAGED
-            A damaged record has whole ones after it; the message names its offset.
+            A complete record follows a damaged one; the detail has its offset.
         SNAPSHOT_DAMAGED
-            The snapshot or the vote is not whole.
+            The snapshot or the vote is incomplete or damaged.
         DISK_FAILED
             The disk cannot be read.
         """
@@ -189,10 +199,11 @@
         return self._load_entries()
 
     def append(self, entries: Sequence[Entry]) -> Result[None, Failure]:
-        """Write entries after the last one and sync them together.
+        """Append entries in one write and sync them.
 
-        One write is one record: after a loss of power any part of what was not synced may be
-        missing, so a whole record after a damaged one proves damage to what was synced.
+        All entries of one write form one record. After a power loss any part of an unsynced write
+        may be missing. A complete record after a damaged one therefore proves that synced data
+        was damaged.
         """
         if self._file is None:
             return Err(Failure(code=Code.DISK_FAILED, detail="the log is not open"))
@@ -209,50 +220,53 @@
         return Ok(None)
 
     def truncate_from(self, index: int) -> Result[None, Failure]:
-        """Drop this entry and all after it."""
-        image = self._contents
+        """Remove an entry and all after it."""
+        contents = self._contents
         position = index - self.first_index
-        if self._file is None or not 0 <= position < len(image.entries):
+        if self._file is None or not 0 <= position < len(contents.entries):
             return Ok(None)
-        if position and image.offsets[position - 1] == image.offsets[position]:
-            return self._rewrite(image.entries[:position], image.snapshot)  # within one record
+        if position and contents.offsets[position - 1] == contents.offsets[position]:
+            return self._rewrite(
+                contents.entries[:position], contents.snapshot
+            )  # cut within a record
         try:
-            self._file.truncate(image.offsets[position])
-            self._file.seek(image.offsets[position])
+            self._file.truncate(contents.offsets[position])
+            self._file.seek(contents.offsets[position])
             os.fsync(self._file.fileno())
         except OSError as error:
             return Err(Failure(code=Code.DISK_FAILED, detail=str(error)))
-        del image.entries[position:]
-        del image.offsets[position:]
+        del contents.entries[position:]
+        del contents.offsets[position:]
         return Ok(None)
 
     def save_vote(self, vote: Vote) -> Result[None, Failure]:
-        """Remember a term and vote before it is told to anyone."""
+        """Write a term and vote; must be done before any other replica learns of them."""
         saved = replace_file(self._folder / VOTE_FILE, msgspec.msgpack.encode(vote))
         if saved.is_ok():
             self.vote = vote
         return saved
 
     def save_snapshot(self, snapshot: Snapshot) -> Result[None, Failure]:
-        """Keep a snapshot and drop the entries that it covers."""
+        """Write a snapshot and remove the entries that it covers."""
         saved = replace_file(self._folder / SNAPSHOT_FILE, msgspec.msgpack.encode(snapshot))
         if saved.is_err():
             return saved
         if self.term_at(snapshot.last_index) == snapshot.last_term:
-            kept = [entry for entry in self.entries if entry.index > snapshot.last_index]
+            remaining = [entry for entry in self.entries if entry.index > snapshot.last_index]
         else:
-            kept = []
-        return self._rewrite(kept, snapshot)
+            remaining = []
+        return self._rewrite(remaining, snapshot)
 
     def recover(self) -> Result[None, Failure]:
-        """Write the log anew from memory, after the disk refused a write or a sync.
+        """Rewrite the log file from memory after a failed write or sync.
 
-        What was not synced then is in no state to build on: the kernel may have dropped it.
+        After a failed sync the kernel may have dropped the unsynced pages, so the file must not
+        be appended to.
         """
         return self._rewrite(list(self._contents.entries), self._contents.snapshot)
 
     def close(self) -> None:
-        """Close the log's file."""
+        """Close the log file."""
         if self._file is not None:
             self._file.close()
             self._file = None
@@ -297,7 +311,11 @@
             if has_record_after(data, offset):
                 detail = f"{LOG_FILE}: damaged record at offset {offset}"
                 return Err(Failure(code=Code.LOG_DAMAGED, detail=detail))
-            log.warning("torn tail cut", offset=offset, lost_bytes=len(data) - offset)
+            log.warning(
+                "incomplete record at the end of the log cut off",
+                offset=offset,
+                lost_bytes=len(data) - offset,
+            )
         return self._open_at(offset)
 
     def _load_record(self, payload: bytes, offset: int) -> Result[None, Failure]:
@@ -308,7 +326,7 @@
             return Err(Failure(code=Code.LOG_DAMAGED, detail=detail))
         for entry in entries:
             if entry.index <= self.snapshot.last_index:
-                continue  # a crash came between the snapshot and the shorter log
+                continue  # crash after the snapshot was written, before the log was shortened
             if entry.index != self.last_index + 1:
                 detail = (
                     f"{LOG_FILE}: entry {entry.index} after {self.last_index} at offset {offset}"
@@ -328,13 +346,13 @@
             return Err(Failure(code=Code.DISK_FAILED, detail=str(error)))
         return Ok(None)
 
-    def _rewrite(self, kept: list[Entry], snapshot: Snapshot) -> Result[None, Failure]:
+    def _rewrite(self, remaining: list[Entry], snapshot: Snapshot) -> Result[None, Failure]:
         path = self._folder / LOG_FILE
         temporary = path.with_name(path.name + ".new")
         content = FILE_MAGIC
-        offsets = [len(FILE_MAGIC)] * len(kept)
-        if kept:
-            content += pack_record(msgspec.msgpack.encode(kept))
+        offsets = [len(FILE_MAGIC)] * len(remaining)
+        if remaining:
+            content += pack_record(msgspec.msgpack.encode(remaining))
         try:
             with temporary.open("wb") as file:
                 file.write(content)
@@ -345,22 +363,22 @@
             sync_folder(self._folder)
         except OSError as error:
             return Err(Failure(code=Code.DISK_FAILED, detail=str(error)))
-        self._contents = _LogContents(snapshot=snapshot, entries=kept, offsets=offsets)
+        self._contents = _LogContents(snapshot=snapshot, entries=remaining, offsets=offsets)
         return self._open_at(len(content))
 
     def _undo_write(self, offset: int) -> None:
         if self._file is None:
             return
-        file, self._file = self._file, None  # closed until recovered: a sync failed, or a write
+        file, self._file = self._file, None  # stays closed until recover(): a write or sync failed
         try:
             file.truncate(offset)
             file.close()
         except OSError as error:
-            log.error("the log could not be cut back after a failed write", error=str(error))
+            log.error("cannot truncate the log after a failed write", error=str(error))
 
 
 def _decode_record(payload: bytes) -> list[Entry]:
-    """Decode the entries of one write; earlier releases wrote each entry as a record."""
+    """Decode the entries of a record; earlier releases wrote one entry per record."""
     try:
         return _batch_decoder.decode(payload)
     except msgspec.ValidationError:
--- a/src/leadhollow/state/machine.py
+++ b/src/leadhollow/state/machine.py
@@ -1,4 +1,4 @@
-"""Deterministic state machine that the replicated log drives."""
+"""Deterministic state machine to which replicas apply the committed commands of the log."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class ClaimRecord(msgspec.Struct, kw_only=True):
-    """One claimed idempotency key."""
+    """A claimed idempotency key, with the result of its request once it is finished."""
 
     index: int
     digest: str
@@ -77,7 +77,7 @@
 
 
 class StateMachine:
-    """Table, versions, leases and claims, changed only by commands in log order."""
+    """Table, versions, leases, drains and claims; changed only by commands in log order."""
 
     __slots__ = ("_claims", "_history", "_operations", "catalog", "route_tables")
 
@@ -89,12 +89,12 @@
         self._claims: dict[str, ClaimRecord] = {}
 
     def apply(self, index: int, command: Command) -> AnyAnswer:
-        """Carry out one command.
+        """Apply one command.
 
         Parameters
         ----------
         index
-            The command's place in the log; it becomes the revision of what changes.
+            Log index of the command; it becomes the revision of what changes.
         command
             The decoded command.
         """
@@ -123,26 +123,26 @@
         return answer
 
     def history(self, group: str | None) -> list[HistoryEntry]:
-        """Give accepted changes, oldest first, of one group or of all."""
+        """Return the accepted changes of one group, or of all for None, oldest first."""
         return [entry for entry in self._history if group is None or entry.group == group]
 
     def operation(self, operation_id: str) -> Answer | None:
-        """Give the first answer of an operation id, if it is still kept."""
+        """Return the answer to the first command with an operation id, if it is still kept."""
         found = self._operations.get(operation_id)
         return None if found is None else found.answer
 
     def claim_count(self) -> int:
-        """Count the claims that are kept."""
+        """Return the number of claims."""
         return len(self._claims)
 
     def last_claim_index(self) -> int:
-        """Give the log index of the newest claim, 0 where there is none."""
+        """Return the log index of the newest claim, 0 if there is none."""
         if not self._claims:
             return 0
         return next(reversed(self._claims.values())).index
 
     def snapshot(self) -> bytes:
-        """Encode the whole state."""
+        """Encode the complete state."""
         body = _SnapshotBody(
             revision=self.catalog.revision,
             items=self.catalog.items_after(0),
@@ -154,12 +154,12 @@
         return msgspec.msgpack.encode(body)
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot.
+        """Replace the complete state by that of a snapshot.
 
         Raises
         ------
         msgspec.MsgspecError
-            The bytes are no snapshot.
+            The bytes are not a snapshot.
         """
         body = msgspec.msgpack.decode(data, type=_SnapshotBody)
         self._operations = body.operations
@@ -188,7 +188,7 @@
             case SetDrain():
                 answer = self._set_drain(index, command, items)
         self._operations[command.operation_id] = _Operation(digest=digest, answer=answer)
-        _forget_oldest(self._operations, MAX_OPERATIONS)
+        _evict_oldest(self._operations, MAX_OPERATIONS)
         return answer
 
     def _edit_rows(self, index: int, command: EditRows, items: list[CatalogItem]) -> Answer:
@@ -305,7 +305,7 @@
                 request_id=command.request_id,
                 entry=command.entry,
             )
-            _forget_oldest(self._claims, MAX_CLAIMS)
+            _evict_oldest(self._claims, MAX_CLAIMS)
             return ClaimAnswer(fresh=True, request_id=command.request_id)
         if existing.digest != command.digest:
             return ClaimAnswer(fresh=False, code=Code.IDEMPOTENCY_KEY_REUSED)
@@ -322,7 +322,7 @@
         if existing is None or existing.request_id != command.request_id:
             return
         if command.outcome == Outcome.NOT_EXECUTED:
-            del self._claims[name]  # nothing ran, so the key is free for a resend
+            del self._claims[name]  # not executed, so a resend may use the key
             return
         existing.finished = command
 
@@ -337,23 +337,23 @@
 
 
 def _previous_versions(before: StoredRow | None, row: Row) -> dict[str, str]:
-    """Keep, for each model whose version changes, the version that runs until then."""
+    """Return the previous version of each model whose new version may still be rolling out."""
     if before is None:
         return {}
-    kept = {}
+    previous = {}
     new_models = row.models
     for model, choice in before.row.models.items():
         if model not in new_models:
             continue
         if new_models[model].version != choice.version:
-            kept[model] = choice.version
+            previous[model] = choice.version
         elif model in before.previous_versions:
-            kept[model] = before.previous_versions[model]
-    return kept
+            previous[model] = before.previous_versions[model]
+    return previous
 
 
-def _forget_oldest(records: dict[str, Kept], kept: int) -> None:
-    while len(records) > kept:
+def _evict_oldest(records: dict[str, Kept], max_records: int) -> None:
+    while len(records) > max_records:
         del records[next(iter(records))]
 
 
--- a/src/leadhollow/state/operator_bodies.py
+++ b/src/leadhollow/state/operator_bodies.py
@@ -1,4 +1,4 @@
-"""What operators send, decoded strictly."""
+"""Request bodies of the operator HTTP API; unknown fields are rejected."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EditBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An edit as an operator sends it."""
+    """Body of an edit of table rows."""
 
     operation_id: str
     operator: str
@@ -29,7 +29,7 @@
 
 
 class PublishBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A version as an operator makes it known."""
+    """Body of a request that publishes a model version."""
 
     operation_id: str
     model: str
@@ -40,7 +40,7 @@
 
 
 class DrainBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A drain as an operator orders it."""
+    """Body of a request that starts or ends the drain of a backend server."""
 
     operation_id: str
     operator: str
@@ -59,7 +59,7 @@
 
 
 def check_edit(body: EditBody) -> Failure | None:
-    """Find what is wrong with an edit by itself."""
+    """Return what is invalid in an edit regardless of the table, or None."""
     if not body.operation_id or len(body.operation_id) > MAXIMUM_OPERATION_ID:
         return Failure(code=Code.ROW_INVALID, detail="expected 1 to 128", field="operation_id")
     if not body.edits:
--- a/src/leadhollow/state/operator_replies.py
+++ b/src/leadhollow/state/operator_replies.py
@@ -1,4 +1,4 @@
-"""Answers that operators get, as the server sends and the command line reads them."""
+"""Reply bodies of the operator HTTP API, shared by the server and the command line."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class EditReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to an edit.
+    """Reply to an edit.
 
     Parameters
     ----------
     code
-        0 where accepted.
+        0 if accepted.
     current
-        On a conflict, the rows as they stand.
+        On a conflict, the current rows.
     in_force, not_in_force
-        Failure domains where every daemon runs the edit, and those where some do not or that
-        are cut off; filled where the operator chose to wait.
+        Failure domains in which every daemon has applied the edit, and those in which some have
+        not or whose reports are outdated. Set only if the operator chose to wait.
     """
 
     code: int = 0
@@ -34,7 +34,7 @@
 
 
 class RowReply(msgspec.Struct, frozen=True, kw_only=True):
-    """One row with its revision."""
+    """A table row with its revision."""
 
     revision: int
     row: Row
@@ -52,7 +52,7 @@
 
 
 class DomainStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One failure domain as it reported last."""
+    """Last report of a failure domain."""
 
     failure_domain: str
     connected: bool
@@ -66,7 +66,7 @@
 
 
 class StatusReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The system as one state replica sees it."""
+    """Status of the system as one state replica knows it."""
 
     vm: str
     role: str
--- a/src/leadhollow/state/operator_server.py
+++ b/src/leadhollow/state/operator_server.py
@@ -1,4 +1,4 @@
-"""HTTP towards operators: the table, versions, drains, history and status."""
+"""HTTP API for operators: the table, versions, drains, history and status."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class OperatorHttpServer:
-    """Listener for operators on one state VM."""
+    """HTTP listener for operators on one state VM."""
 
     __slots__ = ("_runner", "_service", "_settings", "_state", "address")
 
@@ -89,7 +89,7 @@
             ("GET", "/v1/status", self._status),
         ]
         for method, path, handler in routes:
-            application.router.add_route(method, path, self._guarded(handler))
+            application.router.add_route(method, path, self._authenticated(handler))
         runner = web.AppRunner(application, access_log=None)
         await runner.setup()
         parsed = Address.parse(self._settings.operators.listen)
@@ -105,21 +105,21 @@
         return Ok(None)
 
     async def drain(self) -> None:
-        """Answers are short; closing the listener waits for them."""
+        """Do nothing: requests are short, and :meth:`stop` waits for them."""
 
     async def stop(self) -> None:
         """Close the listener."""
         if self._runner is not None:
             await self._runner.cleanup()
 
-    def _guarded(self, handler: Handler) -> Callable[[web.Request], Awaitable[web.Response]]:
-        async def answer(request: web.Request) -> web.Response:
+    def _authenticated(self, handler: Handler) -> Callable[[web.Request], Awaitable[web.Response]]:
+        async def handle(request: web.Request) -> web.Response:
             if not self._authorised(request):
                 return _problem(Failure(code=Code.OPERATOR_TOKEN))
             result = await handler(request)
             if result.is_err():
                 failure = result.unwrap_err()
-                log.info("operator refused", path=request.path, failure=str(failure))
+                log.info("operator request refused", path=request.path, failure=str(failure))
                 return _problem(failure)
             reply = web.Response(
                 body=msgspec.json.encode(result.unwrap()), content_type="application/json"
@@ -128,7 +128,7 @@
                 reply.headers[STALE_HEADER] = "true"
             return reply
 
-        return answer
+        return handle
 
     def _authorised(self, request: web.Request) -> bool:
         if self._settings.operators is None:
@@ -137,14 +137,14 @@
         expected = self._settings.operators.token
         return hmac.compare_digest(token.strip().encode(), expected.encode())
 
-    async def _fresh(self, request: web.Request) -> None:
-        """Wait until this replica has all that was accepted before; else mark the answer stale."""
+    async def _await_accepted(self, request: web.Request) -> None:
+        """Wait until all accepted changes are applied here; else mark the reply stale."""
         done = await self._state.propose(ReadBarrier(), timeout_ms=BARRIER_TIMEOUT_MS)
-        if done.is_ok() and await self._applied(done.unwrap().index):
+        if done.is_ok() and await self._wait_applied(done.unwrap().index):
             return
         request["stale"] = True
 
-    async def _applied(self, index: int) -> bool:
+    async def _wait_applied(self, index: int) -> bool:
         for _ in range(int(BARRIER_TIMEOUT_MS / 1000 / APPLIED_POLL_S)):
             if self._service.replica.applied_index >= index:
                 return True
@@ -152,13 +152,13 @@
         return False
 
     async def _list_rows(self, request: web.Request) -> Result[list[RowReply], Failure]:
-        await self._fresh(request)
+        await self._await_accepted(request)
         return Ok(
             [reply for stored in self._catalog.rows() if (reply := self._row(stored.row.group))]
         )
 
     async def _get_row(self, request: web.Request) -> Result[RowReply, Failure]:
-        await self._fresh(request)
+        await self._await_accepted(request)
         reply = self._row(request.match_info["group"])
         if reply is None:
             return Err(Failure(code=Code.ROW_UNKNOWN, detail=request.match_info["group"]))
@@ -182,7 +182,7 @@
         if failure is not None:
             return Err(failure)
         if body.dry_run:
-            await self._fresh(request)
+            await self._await_accepted(request)
             return Ok(self._dry_run(body))
         command = EditRows(operation_id=body.operation_id, operator=body.operator, edits=body.edits)
         return await self._commit(command, wait_ms=body.wait_ms)
@@ -249,18 +249,18 @@
         started_s = loop.time()
         deadline_s = started_s + min(wait_ms, MAXIMUM_WAIT_MS) / 1000
         while True:
-            done, missing = self._service.domain_revisions.in_force(reply.revision, domains)
+            applied, missing = self._service.domain_revisions.in_force(reply.revision, domains)
             if not missing or loop.time() >= deadline_s:
                 return msgspec.structs.replace(
                     reply,
-                    in_force=tuple(sorted(done)),
+                    in_force=tuple(sorted(applied)),
                     not_in_force=tuple(sorted(missing)),
                     waited_ms=int((loop.time() - started_s) * 1000),
                 )
             await asyncio.sleep(APPLIED_POLL_S)
 
     async def _operation(self, request: web.Request) -> Result[EditReply, Failure]:
-        await self._fresh(request)
+        await self._await_accepted(request)
         answer = self._service.replica.machine.operation(request.match_info["operation_id"])
         if answer is None:
             return Err(Failure(code=Code.ROW_UNKNOWN, detail="no such operation was accepted"))
@@ -274,11 +274,11 @@
         )
 
     async def _history(self, request: web.Request) -> Result[Any, Failure]:
-        await self._fresh(request)
+        await self._await_accepted(request)
         return Ok(self._service.replica.machine.history(request.query.get("group")))
 
     async def _versions(self, request: web.Request) -> Result[Any, Failure]:
-        await self._fresh(request)
+        await self._await_accepted(request)
         return Ok(self._catalog.versions())
 
     async def _status(self, request: web.Request) -> Result[StatusReply, Failure]:
@@ -293,4 +293,4 @@
     )
 
 
-__all__ = ["OperatorHttp"]
+__all__ = ["OperatorHttpServer"]
--- a/src/leadhollow/state/records.py
+++ b/src/leadhollow/state/records.py
@@ -1,4 +1,4 @@
-"""What the replicated state holds: rows, versions, leases, drains."""
+"""Records of the replicated state: table rows, versions, leases and drains, with their keys."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Policy(Enum):
-    """What a model's distribution saves first."""
+    """What the distribution of a model minimises."""
 
     LEAST_TIME = "least-time"
     FEWEST_ORIGIN_BYTES = "fewest-origin-bytes"
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Ceilings of one group over the whole system."""
+    """Limits of a group over the whole system."""
 
     concurrency: int = 64
     tokens_per_s: int = 1_000_000
@@ -32,7 +32,7 @@
 
 
 class ModelChoice(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Which version of a model a group runs."""
+    """Version of a model that a group uses, with its placement."""
 
     version: str
     minimum_replicas: int = 1
@@ -40,19 +40,19 @@
 
 
 class ServiceRule(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How a group's calls of a plain service are treated.
+    """Treatment of a group's calls to a service that is not a model.
 
     Parameters
     ----------
     repeatable
-        Whether POST and PATCH calls may run more than once.
+        Whether POST and PATCH calls may be executed more than once.
     """
 
     repeatable: bool = False
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One row of the table."""
+    """One row of the table: a group with its limits, models, services and API key hashes."""
 
     group: str
     weight: float
@@ -63,7 +63,7 @@
 
 
 class StoredRow(msgspec.Struct, frozen=True, kw_only=True, tag="row"):
-    """A row as accepted, with what the rollout still needs of the row before."""
+    """An accepted row, with the model versions of the row before that a rollout still needs."""
 
     row: Row
     previous_versions: dict[str, str] = {}
@@ -80,7 +80,7 @@
 
 
 class LeaseRecord(msgspec.Struct, frozen=True, kw_only=True, tag="lease"):
-    """Who may order within a failure domain, and the fencing number of its orders."""
+    """Holder of a lease, with the fencing number of its orders."""
 
     name: str
     holder: str
@@ -89,7 +89,7 @@
 
 
 class DrainRecord(msgspec.Struct, frozen=True, kw_only=True, tag="drain"):
-    """A backend server that an operator sends away."""
+    """A backend server that an operator drains."""
 
     server: str
     operator: str
@@ -110,7 +110,7 @@
 
 
 class CatalogItem(msgspec.Struct, frozen=True, kw_only=True):
-    """One entry of the catalog; a removed one keeps its key with no value."""
+    """One item of the catalog; a removed item keeps its key and has no value."""
 
     key: str
     revision: int
@@ -118,7 +118,7 @@
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One accepted change of a row."""
+    """An accepted change of a row."""
 
     revision: int
     operation_id: str
@@ -132,22 +132,22 @@
 
 
 def row_key(group: str) -> str:
-    """Catalog key of a row."""
+    """Return the catalog key of a row."""
     return f"{ROW_PREFIX}{group}"
 
 
 def version_key(model: str, version: str) -> str:
-    """Catalog key of a model version."""
+    """Return the catalog key of a model version."""
     return f"version/{model}/{version}"
 
 
 def lease_key(name: str) -> str:
-    """Catalog key of a lease."""
+    """Return the catalog key of a lease."""
     return f"lease/{name}"
 
 
 def drain_key(server: str) -> str:
-    """Catalog key of a drain."""
+    """Return the catalog key of a drain."""
     return f"drain/{server}"
 
 
--- a/src/leadhollow/state/replica.py
+++ b/src/leadhollow/state/replica.py
@@ -1,4 +1,8 @@
-"""One replica of the log: follows, stands for election, leads, and applies what is committed."""
+"""One replica of the replicated log, put together from its parts.
+
+It follows a leader, campaigns for election, leads, and applies committed entries to its state
+machine.
+"""
 
 from __future__ import annotations
 
@@ -33,24 +37,24 @@
 
 
 class Replica:
-    """Replicated log of one VM.
+    """A replica of the log on one VM.
 
     Parameters
     ----------
     vm
-        Our own name among the replicas: the identity of our disk where voters change.
+        Name of this replica; the identity of its disk if the voter set may change.
     replicas
-        All replicas, ours included, where the settings name them and voters never change.
+        All replicas, including this one, if the settings name them and the voter set is fixed.
     voters
-        The first voters where the log changes them; empty for a replica that begins as learner.
+        The first voter set if it may change; empty for a replica that starts as learner.
     timing
         Heartbeat, election and snapshot settings.
     store
-        The disk.
+        Log, vote and snapshot on disk.
     peers
         Connections to the other replicas.
     seed
-        Seed of the election timeout's random part.
+        Seed of the random part of the election timeout.
     """
 
     __slots__ = ("_election", "_following", "_leadership", "_state", "_tasks")
@@ -86,32 +90,32 @@
 
     @property
     def vm(self) -> str:
-        """Our own name."""
+        """Name of this replica."""
         return self._state.vm
 
     @property
     def machine(self) -> StateMachine:
-        """The state that the log drives."""
+        """State machine that applies the committed entries."""
         return self._state.machine
 
     @property
     def store(self) -> LogStore:
-        """The disk."""
+        """Log, vote and snapshot on disk."""
         return self._state.store
 
     @property
     def role(self) -> ReplicaRole:
-        """Our place in the current term."""
+        """Role of this replica in the current term."""
         return self._state.role
 
     @property
     def leader_vm(self) -> str:
-        """Who leads, empty while it is not known."""
+        """Name of the leader; empty while it is unknown."""
         return self._state.leader_vm
 
     @property
     def vote(self) -> Vote:
-        """Our term and vote as they stand on disk."""
+        """Current term and vote as written to disk."""
         return self._state.vote
 
     @property
@@ -121,32 +125,32 @@
 
     @property
     def applied_index(self) -> int:
-        """Index of the last entry that was applied."""
+        """Index of the last applied entry."""
         return self._state.applied_index
 
     @property
     def failed(self) -> bool:
-        """Whether our disk failed and we take no part any more."""
+        """Whether the disk failed, so that this replica takes no part until it recovers."""
         return self._state.failed
 
     @property
     def leader_since_s(self) -> float:
-        """Loop time at which we became leader."""
+        """Time at which this replica was last elected, by the clock of leader leases."""
         return self._leadership.since_s
 
     @property
     def voters(self) -> VoterSet:
-        """The voter set in force."""
+        """Voter set in force."""
         return self._state.voters.current
 
     @property
     def leadership(self) -> Leadership:
-        """What we know of the others while we lead."""
+        """Leader role of this replica."""
         return self._leadership
 
     @property
     def leader_silence_s(self) -> float:
-        """How long no leader has been heard; 0 while we lead."""
+        """Seconds since a leader was last heard; 0 while this replica leads."""
         if self._state.role is ReplicaRole.LEADER:
             return 0.0
         return now_s() - self._state.leader_heard_s
@@ -158,16 +162,16 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry that is synced here."""
+        """Index of the last entry that this replica has synced."""
         return self._state.store.last_index
 
     def register(self, handlers: HandlerTable) -> None:
-        """Answer the other replicas."""
+        """Register the handlers of requests from other replicas."""
         self._following.register(handlers)
         handlers.on_call(StandNow, self._election.on_stand_now)
 
     async def start(self) -> Result[None, Failure]:
-        """Read the disk and join the other replicas."""
+        """Read the disk and start to take part in elections and replication."""
         state = self._state
         opened = await state.disk.run(state.store.open)
         if opened.is_err():
@@ -177,9 +181,9 @@
             state.commit_index = state.applied_index = state.store.snapshot.last_index
             state.restore_voters(state.store.snapshot)
         state.apply_voter_changes(state.store.entries)
-        state.election_timer_reset_s = active_time.active_s()
+        state.election_timer_reset_s = active_time.heard_s()
         state.leader_heard_s = now_s()
-        start_task(self._tasks, self._election.run(fresh=state.store.never_used))
+        start_task(self._tasks, self._election.run(empty_disk=state.store.never_used))
         start_task(self._tasks, self._apply_committed())
         return Ok(None)
 
@@ -194,13 +198,13 @@
         self._state.store.close()
 
     def ready(self) -> bool:
-        """Tell whether we lead and have applied everything committed before our term."""
+        """Return whether this replica leads and has applied all entries of earlier terms."""
         state = self._state
         applied_term = state.store.term_at(state.applied_index)
         return self._leadership.lease_valid() and applied_term == state.term
 
-    async def propose(self, command: Command) -> Result[Applied, Failure]:
-        """Put a command into the log and wait until it is applied; see :class:`Leadership`."""
+    async def propose(self, command: Command) -> Result[AppliedCommand, Failure]:
+        """Append a command to the log and wait until it is applied; see :class:`Leadership`."""
         return await self._leadership.propose(command)
 
     async def _apply_committed(self) -> None:
@@ -211,7 +215,7 @@
             while state.applied_index < state.commit_index:
                 entry = state.store.entry(state.applied_index + 1)
                 if entry is None:
-                    break  # a snapshot replaced what stood here
+                    break  # covered by a snapshot meanwhile
                 self._apply(entry)
             applied = state.applied_index - state.store.snapshot.last_index
             if applied >= state.timing.snapshot_entries and not state.failed:
@@ -223,7 +227,7 @@
         done = state.pending.pop(entry.index, None)
         state.applied_index = entry.index
         if decoded.is_err():
-            log.error("entry not understood", index=entry.index, failure=decoded.unwrap_err())
+            log.error("entry cannot be decoded", index=entry.index, failure=decoded.unwrap_err())
             resolve_proposal(done, Err(decoded.unwrap_err()))
             return
         answer = state.machine.apply(entry.index, decoded.unwrap())
@@ -246,4 +250,4 @@
         log.info("snapshot taken", index=index, size_bytes=len(snapshot.data))
 
 
-__all__ = ["Applied", "Replica", "ReplicaRole"]
+__all__ = ["AppliedCommand", "Replica", "ReplicaRole"]
--- a/src/leadhollow/state/replica_state.py
+++ b/src/leadhollow/state/replica_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one replica share: term and vote, log, commit index, who leads."""
+"""State that the parts of one replica share: vote, log, commit index, role and leader."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from leadhollow.wire.peers import PeerPool
 
 CALL_TIMEOUT_MS = 1_000
-VOTE_BLOCKED = "*"  # stands as the vote of a term in which a wiped replica must not vote
+VOTE_BLOCKED = "*"  # recorded as vote where a replica that lost its disk must not vote
 
 log = get_logger("state")
 
 
 class ReplicaRole(Enum):
-    """Place of a replica in the current term."""
+    """Role of a replica in the current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -35,7 +35,7 @@
 
 
 class AppliedCommand:
-    """Answer to a proposal, with its place in the log."""
+    """Result of a committed and applied command, with its log index."""
 
     __slots__ = ("answer", "index")
 
@@ -45,27 +45,27 @@
 
 
 class ReplicaState:
-    """State of one replica.
+    """Shared state of one replica.
 
-    Whatever changes the log, the vote or the term is one of its ``steps``.
+    Every change of the log, the vote or the term runs in ``transitions``.
 
     Parameters
     ----------
     vm
-        Our own name among the replicas: the identity of our disk where voters change.
+        Name of this replica; the identity of its disk if the voter set may change.
     voters
         The voter sets of the log.
-    named
-        Whether the settings name all replicas, so that the set never changes; a replica that
-        lost its disk then keeps its name, and may not vote until it has caught up.
+    fixed_voters
+        Whether the settings name all replicas and the voter set never changes. A replica that
+        lost its disk then keeps its name and must not vote until it has caught up.
 
     Attributes
     ----------
-    heard_s
-        Heard time at which a leader or a candidate was last given time to lead: what our patience
-        with them is measured by.
+    election_timer_reset_s
+        Active time at which the election timer was last reset: a leader was heard, a vote was
+        granted, or a campaign of this replica failed.
     leader_heard_s
-        When a leader was last heard, by the clock of leads: what others rely on.
+        Time at which a leader was last heard, see :func:`now_s`. Leader leases rely on it.
     """
 
     __slots__ = (
@@ -74,20 +74,20 @@
         "applied_index",
         "commit_index",
         "disk",
-        "failed",
         "election_timer_reset_s",
+        "failed",
+        "fixed_voters",
         "leader_heard_s",
         "leader_vm",
         "machine",
-        "fixed_voters",
         "peers",
+        "pending",
         "role",
-        "transitions",
         "store",
         "timing",
+        "transitions",
         "vm",
         "voters",
-        "pending",
         "wake_apply",
     )
 
@@ -117,14 +117,14 @@
         self.failed = False
         self.election_timer_reset_s = 0.0
         self.leader_heard_s = 0.0
-        self.pending: dict[int, asyncio.Future[Result[Applied, Failure]]] = {}
+        self.pending: dict[int, asyncio.Future[Result[AppliedCommand, Failure]]] = {}
         self.wake_apply = asyncio.Event()
-        self._step_down: Callable[[], None] = _nothing
-        self._voters_changed: Callable[[], None] = _nothing
+        self._step_down: Callable[[], None] = _do_nothing
+        self._voters_changed: Callable[[], None] = _do_nothing
 
     @property
     def vote(self) -> Vote:
-        """Our term and vote as they stand on disk."""
+        """Current term and vote as written to disk."""
         return self.store.vote or Vote(voter=False)
 
     @property
@@ -134,39 +134,39 @@
 
     @property
     def election_timeout_s(self) -> float:
-        """Shortest time without a leader after which a replica stands for election."""
+        """Shortest time without a leader after which a replica campaigns."""
         return self.timing.election_timeout_ms / 1000
 
     @property
     def others(self) -> list[Voter]:
-        """All voters but ourselves."""
+        """All voters except this replica."""
         return self.voters.current.others(self.vm)
 
     @property
     def is_voter(self) -> bool:
-        """Whether we are in the voter set in force."""
+        """Whether this replica is in the voter set in force."""
         return self.vm in self.voters.current
 
-    def on_step_down(self, work: Callable[[], None]) -> None:
-        """Call a function when we stop leading."""
-        self._step_down = work
+    def on_step_down(self, listener: Callable[[], None]) -> None:
+        """Call a function when this replica stops leading."""
+        self._step_down = listener
 
-    def on_voters_changed(self, work: Callable[[], None]) -> None:
+    def on_voters_changed(self, listener: Callable[[], None]) -> None:
         """Call a function when the voter set in force changes."""
-        self._voters_changed = work
+        self._voters_changed = listener
 
     def apply_voter_changes(self, entries: list[Entry]) -> None:
-        """Take over the voter sets of entries that the log took."""
+        """Adopt the voter sets in entries that were appended to the log."""
         if self.voters.record_entries(entries):
             self._notify_voters_changed()
 
     def revert_voter_changes(self, index: int) -> None:
-        """Drop the voter sets of entries that were cut off the log."""
+        """Return to the voter set before an index from which the log was cut off."""
         if self.voters.revert_from(index):
             self._notify_voters_changed()
 
     def restore_voters(self, snapshot: Snapshot) -> None:
-        """Begin with the voter set of a snapshot."""
+        """Adopt the voter set of a snapshot."""
         if snapshot.voters:
             self.voters.reset(index=snapshot.last_index, voters=decode_voters(snapshot.voters))
             self._notify_voters_changed()
@@ -182,31 +182,31 @@
         self._voters_changed()
 
     def become_follower(self, leader: str) -> None:
-        """Stop leading or standing; the leader's name is empty while it is not known."""
+        """Stop leading or campaigning; ``leader`` is empty while the leader is unknown."""
         if self.role is ReplicaRole.LEADER:
             self._step_down()
         self.role = ReplicaRole.FOLLOWER
         self.leader_vm = leader
 
     def leader_heard_recently(self) -> bool:
-        """Tell whether a leader was heard within the shortest election timeout."""
+        """Return whether a leader was heard within the shortest election timeout."""
         return now_s() - self.leader_heard_s < self.election_timeout_s
 
     def advance_commit(self, index: int) -> None:
-        """Take a higher commit index and wake the applying."""
+        """Raise the commit index and wake the task that applies entries."""
         if index > self.commit_index:
             self.commit_index = index
             self.wake_apply.set()
 
     async def save_vote(self, vote: Vote) -> bool:
-        """Write a term and vote to disk before anybody is told."""
+        """Write a term and vote to disk; must be done before any other replica learns of them."""
         saved = await self.disk.run(lambda: self.store.save_vote(vote))
         if saved.is_err():
             self.fail(saved.unwrap_err())
         return saved.is_ok()
 
     async def adopt_term(self, term: int) -> None:
-        """Follow a higher term that somebody named."""
+        """Become a follower in a higher term that another replica named."""
         await self.transitions.run(lambda: self._adopt_term(term))
 
     async def _adopt_term(self, term: int) -> None:
@@ -215,14 +215,14 @@
             await self.save_vote(Vote(term=term, voted_for="", voter=self.vote.voter))
 
     def fail(self, failure: Failure) -> Failure:
-        """Take no part until the whole log could be written anew; see :meth:`recover`."""
-        log.error("replica stops taking part", replica=self.vm, failure=str(failure))
+        """Take no part until the log has been rewritten; see :meth:`recover`."""
+        log.error("replica stops taking part: disk failed", replica=self.vm, failure=str(failure))
         self.failed = True
         self.become_follower("")
         return failure
 
     async def recover(self) -> None:
-        """Try to write the log and the vote anew, and take part again where that succeeds."""
+        """Try to rewrite the log and the vote; take part again if that succeeds."""
         await self.transitions.run(self._recover)
 
     async def _recover(self) -> None:
@@ -232,37 +232,45 @@
         if written.is_err():
             return
         self.failed = False
-        self.election_timer_reset_s = active_time.active_s()
-        log.warning("replica takes part again", replica=self.vm, last_index=self.store.last_index)
+        self.election_timer_reset_s = active_time.heard_s()
+        log.warning(
+            "disk recovered: replica takes part again",
+            replica=self.vm,
+            last_index=self.store.last_index,
+        )
 
 
 def resolve_proposal(
-    done: asyncio.Future[Result[Applied, Failure]] | None, result: Result[Applied, Failure]
+    done: asyncio.Future[Result[AppliedCommand, Failure]] | None,
+    result: Result[AppliedCommand, Failure],
 ) -> None:
-    """Answer a proposal once, if anybody still waits for it."""
+    """Set the result of a proposal if its caller still waits for it."""
     if done is not None and not done.done():
         done.set_result(result)
 
 
-def start_task(tasks: list[asyncio.Task[None]], work: Coroutine[object, object, None]) -> None:
-    """Start a task whose crash is logged."""
-    task = asyncio.get_running_loop().create_task(work)
+def start_task(tasks: list[asyncio.Task[None]], coroutine: Coroutine[object, object, None]) -> None:
+    """Start a task and log its exception if it fails."""
+    task = asyncio.get_running_loop().create_task(coroutine)
     tasks.append(task)
     task.add_done_callback(_log_crash)
 
 
 def now_s() -> float:
-    """Give the time by which votes and leads count: a suspension ends a lead like any silence."""
+    """Return the clock of votes and leader leases.
+
+    It includes time in which the VM was suspended: a suspension ends a lease like any silence.
+    """
     return clocks.elapsed_s()
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return
 
 
 def _log_crash(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        log.error("task ended by an error", error=repr(task.exception()))
+        log.error("task failed", error=repr(task.exception()))
 
 
 __all__ = [
@@ -271,7 +279,7 @@
     "AppliedCommand",
     "ReplicaRole",
     "ReplicaState",
-    "answer_proposal",
+    "resolve_proposal",
     "now_s",
     "start_task",
 ]
--- a/src/leadhollow/state/route_tables.py
+++ b/src/leadhollow/state/route_tables.py
@@ -1,4 +1,7 @@
-"""Route tables in the replicated state: the highest number is in force, and it is kept as sent."""
+"""Route tables in the replicated state.
+
+The table with the highest number is in force. The operator's document of it is kept unchanged.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
     Attributes
     ----------
     source
-        The operator's document of the table in force, compressed; empty where there is none.
+        The operator's document of the table in force, compressed; empty if there is none.
     """
 
     __slots__ = ("source",)
@@ -35,30 +38,30 @@
     def replace(
         self, command: ReplaceRouteTable, catalog: Catalog, *, revision: int
     ) -> list[CatalogItem]:
-        """Put a newer table in force; give the items that change."""
+        """Replace the table if the new one has a higher number; return the changed items."""
         if command.number <= held_number(catalog):
             return []
         try:
             table = msgspec.msgpack.decode(zlib.decompress(command.table), type=RouteTable)
         except (zlib.error, msgspec.MsgspecError) as error:
-            log.error("route table not understood", number=command.number, error=str(error))
+            log.error("route table cannot be decoded", number=command.number, error=str(error))
             return []
         self.source = command.source
         return changed_items(table, catalog.items(), revision=revision)
 
     def document(self) -> bytes | None:
-        """Give the operator's document of the table in force, None where there is none."""
+        """Return the operator's document of the table in force, None if there is none."""
         return zlib.decompress(self.source) if self.source else None
 
 
 def held_number(catalog: Catalog) -> int:
-    """Give the number of the table in force, one below the lowest where there is none."""
-    held = catalog.value(TABLE_KEY, TableNumber)
-    return MIN_TABLE_NUMBER - 1 if held is None else held.number
+    """Return the number of the table in force; without one, the lowest number minus 1."""
+    current = catalog.value(TABLE_KEY, TableNumber)
+    return MIN_TABLE_NUMBER - 1 if current is None else current.number
 
 
 def replacement_command(table: RouteTable, source: bytes) -> ReplaceRouteTable:
-    """Make the command that puts a table in force."""
+    """Return the command that puts a table in force."""
     return ReplaceRouteTable(
         number=table.number,
         table=zlib.compress(msgspec.msgpack.encode(table), COMPRESSION_LEVEL),
--- a/src/leadhollow/state/rules.py
+++ b/src/leadhollow/state/rules.py
@@ -1,6 +1,6 @@
-"""Decisions of election and commitment, as small functions of their inputs.
+"""Decisions of elections and commits as pure functions.
 
-The replica calls these and the exhaustive check runs these very functions.
+Replicas call these functions, and so does the exhaustive search in the tests.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 
 
 def quorum_size(replicas: int) -> int:
-    """Give the smallest majority of a number of replicas."""
+    """Return the size of the smallest majority of a number of replicas."""
     return replicas // 2 + 1
 
 
 def log_is_current(
     *, candidate_term: int, candidate_index: int, own_term: int, own_index: int
 ) -> bool:
-    """Tell whether a candidate's log holds at least what ours does."""
+    """Return whether a candidate's log is at least as recent as that of the voter."""
     return (candidate_term, candidate_index) >= (own_term, own_index)
 
 
@@ -30,15 +30,15 @@
     own_voter: bool,
     leader_heard: bool,
 ) -> bool:
-    """Decide on a vote.
+    """Return whether to grant a vote.
 
     Parameters
     ----------
     own_voter
-        False for a replica that has not caught up since it lost its disk.
+        False for a replica that has lost its disk and not yet caught up.
     leader_heard
-        Whether a live leader was heard within the shortest election timeout; while it was, no
-        vote is given, so a leader's own lease cannot be broken.
+        Whether a leader was heard within the shortest election timeout. No vote is granted then,
+        so that no other replica is elected during a leader's lease.
     """
     if not own_voter or leader_heard or not candidate_log_current:
         return False
@@ -50,15 +50,15 @@
 def committed_index(
     *, match_indexes: Sequence[int], current_commit: int, term_of_majority_index: int, term: int
 ) -> int:
-    """Give the commit index that a leader may announce.
+    """Return the commit index of a leader.
 
     Parameters
     ----------
     match_indexes
-        Highest synced index of each replica, the leader's own included.
+        Highest synced index of each voter, including the leader.
     term_of_majority_index
-        Term of the entry at :func:`majority_index`; an entry of an earlier term is committed
-        only together with one of the leader's own.
+        Term of the entry at :func:`majority_index`. An entry of an earlier term is committed
+        only together with an entry of the leader's term.
     """
     index = majority_index(match_indexes)
     if index > current_commit and term_of_majority_index == term:
@@ -67,18 +67,18 @@
 
 
 def majority_index(match_indexes: Sequence[int]) -> int:
-    """Give the highest index that a majority has synced."""
+    """Return the highest index that a majority has synced."""
     ordered = sorted(match_indexes, reverse=True)
     return ordered[quorum_size(len(ordered)) - 1]
 
 
 def first_conflict(*, own_terms: Sequence[int], offered_terms: Sequence[int]) -> int | None:
-    """Find the position from which our entries differ from the leader's.
+    """Find the first position at which own entries conflict with offered ones.
 
     Returns
     -------
     int or None
-        The first position where both have an entry of different terms, None without conflict.
+        First position at which the terms differ, None if there is no conflict.
     """
     for position, (own, offered) in enumerate(zip(own_terms, offered_terms, strict=False)):
         if own != offered:
--- a/src/leadhollow/state/service.py
+++ b/src/leadhollow/state/service.py
@@ -1,4 +1,4 @@
-"""The state role: serves the replicated log to the other processes."""
+"""The state role: runs a replica of the log and serves it to other processes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class StateService:
-    """Replica, leases and watches of one state VM."""
+    """Replica, leases, catalog streams and domain reports of one state VM."""
 
     __slots__ = ("_leases", "_settings", "_tasks", "domain_revisions", "replica")
 
@@ -64,7 +64,7 @@
         handlers.on_stream(CatalogWatch, self._on_watch)
 
     async def start(self) -> Result[None, Failure]:
-        """Open the log and join the replicas."""
+        """Open the log and start the replica."""
         started = await self.replica.start()
         if started.is_ok():
             loop = asyncio.get_running_loop()
@@ -72,10 +72,10 @@
         return started
 
     async def drain(self) -> None:
-        """Nothing of a caller is in progress here."""
+        """Do nothing: a state VM has no callers' requests in progress."""
 
     async def stop(self) -> None:
-        """Leave the replicas."""
+        """Stop the replica."""
         for task in self._tasks:
             task.cancel()
         await self.replica.stop()
@@ -103,27 +103,27 @@
     ) -> Result[LeaseRenewalReply, Failure]:
         try:
             async with active_timeout(COMMIT_TIMEOUT_S):
-                given = await self._leases.renew_or_acquire(
+                granted = await self._leases.renew_or_acquire(
                     name=request.name, holder=request.holder, fence=request.fence
                 )
         except TimeoutError:
             return Err(Failure(code=Code.EDIT_UNKNOWN, detail="no majority answered in time"))
-        if given.is_err():
-            failure = given.unwrap_err()
+        if granted.is_err():
+            failure = granted.unwrap_err()
             if failure.code is Code.LEASE_HELD:
                 return Ok(LeaseRenewalReply(False, 0, 0))
             return Err(failure)
-        record = given.unwrap()
+        record = granted.unwrap()
         return Ok(LeaseRenewalReply(True, record.ttl_ms, record.fence))
 
     def _on_domain_applied(self, report: DomainApplied, connection: Connection) -> None:
-        self.domain_revisions.note(report)
+        self.domain_revisions.record(report)
 
     async def _on_watch(self, request: CatalogWatch, sink: StreamSink) -> Result[None, Failure]:
         return await serve_catalog(self.replica.machine.catalog, request, sink)
 
     async def _expire_claims(self) -> None:
-        """Forget claims a retention time after they were seen, by the leader's own clock."""
+        """Remove claims one retention time after they were seen, by the leader's clock."""
         retention_s = self._settings.state.claim_retention_ms / 1000
         while True:
             newest = self.replica.machine.last_claim_index()
--- a/src/leadhollow/state/sheet.py
+++ b/src/leadhollow/state/sheet.py
@@ -1,4 +1,4 @@
-"""The table as a CSV sheet, and back."""
+"""Export of the table as CSV, and import."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def write_sheet(rows: list[Row]) -> str:
-    """Write rows as CSV, one line each."""
+    """Return rows as CSV, one line for each."""
     target = io.StringIO()
     writer = csv.writer(target, lineterminator="\n")
     writer.writerow(COLUMNS)
@@ -58,20 +58,20 @@
 
 
 def read_sheet(text: str) -> Result[list[Row], list[Failure]]:
-    """Read a sheet.
+    """Parse a CSV sheet.
 
     Returns
     -------
     Result
-        All rows, or one failure for each bad line, named by its number and column.
+        All rows, or one failure for each invalid line, with its number and column.
     """
     reader = csv.reader(io.StringIO(text), strict=True)
     try:
         lines = list(reader)
     except csv.Error as error:
-        return Err([_bad(reader.line_num, "", str(error))])
+        return Err([_invalid(reader.line_num, "", str(error))])
     if not lines or tuple(lines[0]) != COLUMNS:
-        return Err([_bad(1, "", f"expected the columns {','.join(COLUMNS)}")])
+        return Err([_invalid(1, "", f"expected the columns {','.join(COLUMNS)}")])
     rows: list[Row] = []
     failures: list[Failure] = []
     seen: set[str] = set()
@@ -84,7 +84,7 @@
             continue
         row = read.unwrap()
         if row.group in seen:
-            failures.append(_bad(number, "group", f"{row.group} stands twice"))
+            failures.append(_invalid(number, "group", f"{row.group} stands twice"))
         seen.add(row.group)
         rows.append(row)
     return Err(failures) if failures else Ok(rows)
@@ -92,7 +92,7 @@
 
 def _read_line(number: int, cells: list[str]) -> Result[Row, Failure]:
     if len(cells) != len(COLUMNS):
-        return Err(_bad(number, "", f"expected {len(COLUMNS)} cells, found {len(cells)}"))
+        return Err(_invalid(number, "", f"expected {len(COLUMNS)} cells, found {len(cells)}"))
     values = dict(zip(COLUMNS, (cell.strip() for cell in cells), strict=True))
     column = ""
     try:
@@ -102,21 +102,21 @@
         column = "weight"
         weight = float(values[column])
         column = "models"
-        models = dict(_read_model(text) for text in _list(values[column]))
+        models = dict(_read_model(text) for text in _split_list(values[column]))
         column = "services"
-        services = dict(_read_service(text) for text in _list(values[column]))
+        services = dict(_read_service(text) for text in _split_list(values[column]))
     except ValueError as error:
-        return Err(_bad(number, column, str(error)))
+        return Err(_invalid(number, column, str(error)))
     row = Row(
         group=values["group"],
         weight=weight,
         limits=Limits(**numbers),
         models=models,
         services=services,
-        key_sha256s=tuple(_list(values["key_sha256s"])),
+        key_sha256s=tuple(_split_list(values["key_sha256s"])),
     )
     failure = check_row(row)
-    return Ok(row) if failure is None else Err(_bad(number, failure.field, failure.detail))
+    return Ok(row) if failure is None else Err(_invalid(number, failure.field, failure.detail))
 
 
 def _read_model(text: str) -> tuple[str, ModelChoice]:
@@ -139,17 +139,17 @@
     return service, ServiceRule(repeatable=rule == REPEATABLE)
 
 
-def _list(cell: str) -> list[str]:
+def _split_list(cell: str) -> list[str]:
     return [part.strip() for part in cell.split(LIST_SEPARATOR) if part.strip()]
 
 
-def _bad(number: int, column: str, detail: str) -> Failure:
+def _invalid(number: int, column: str, detail: str) -> Failure:
     field = f"line {number}" + (f", {column}" if column else "")
     return Failure(code=Code.SHEET_INVALID, detail=detail, field=field)
 
 
 def decode_row(text: bytes) -> Result[Row, Failure]:
-    """Read one row from JSON."""
+    """Decode and validate one row in JSON."""
     try:
         row = msgspec.json.decode(text, type=Row)
     except msgspec.MsgspecError as error:
--- a/src/leadhollow/state/status.py
+++ b/src/leadhollow/state/status.py
@@ -1,4 +1,4 @@
-"""The system as one state replica sees it."""
+"""Status of the system as one state replica knows it, for operators."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 
 
 def build_status(settings: Settings, service: StateService) -> StatusReply:
-    """Gather what the failure domains reported last."""
+    """Combine the last reports of all failure domains with the state of this replica."""
     catalog = service.replica.machine.catalog
     replica = service.replica
-    known = {record.root: record for record in catalog.versions()}
+    versions_by_root = {record.root: record for record in catalog.versions()}
     reports = service.domain_revisions.domains()
     domains = []
     for name in sorted({peer.failure_domain for peer in settings.domain_replicas}):
-        reach = reports.get(name)
+        report = reports.get(name)
         lease = catalog.lease(f"domain/{name}")
-        if reach is None:
+        if report is None:
             domains.append(DomainStatus(failure_domain=name, connected=False))
             continue
-        lines = []
-        for line in reach.report.lines or ():
-            record = known.get(line.root)
-            lines.append(
+        serving = []
+        for entry in report.report.lines or ():
+            record = versions_by_root.get(entry.root)
+            serving.append(
                 VersionStatus(
-                    kind=line.kind,
-                    name=line.model,
+                    kind=entry.kind,
+                    name=entry.model,
                     version="" if record is None else record.version,
-                    slots=line.total_slots,
-                    free_slots=line.free_slots,
+                    slots=entry.total_slots,
+                    free_slots=entry.free_slots,
                 )
             )
         domains.append(
             DomainStatus(
                 failure_domain=name,
-                connected=service.domain_revisions.reachable(reach),
-                revision=reach.revision,
-                daemons=reach.report.daemons or 0,
-                behind=tuple(reach.report.behind or ()),
+                connected=service.domain_revisions.is_connected(report),
+                revision=report.revision,
+                daemons=report.report.daemons or 0,
+                behind=tuple(report.report.behind or ()),
                 lease_holder="" if lease is None else lease.holder,
                 fence=0 if lease is None else lease.fence,
-                origin_bytes=reach.report.origin_bytes or 0,
-                serving=tuple(lines),
+                origin_bytes=report.report.origin_bytes or 0,
+                serving=tuple(serving),
             )
         )
     return StatusReply(
--- a/src/leadhollow/state/transition_queue.py
+++ b/src/leadhollow/state/transition_queue.py
@@ -1,4 +1,7 @@
-"""Changes of a replica's log, vote and term: one after the other, each done to its end."""
+"""Serial execution of changes to a replica's log, vote and term.
+
+A change writes to disk and then updates memory. It must not be interrupted between the two.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,11 @@
 
 
 class TransitionQueue:
-    """Lets no step end between what it writes and what it notes of that.
+    """Runs transitions one at a time; a transition that has started always completes.
 
-    A step belongs to the replica, not to whoever asked for it: a connection that ends, or a task
-    that is cancelled because the replica leads no more, takes the answer with it, not the step.
-    A caller that leaves before its step began has begun nothing.
+    A connection may end, or a task may be cancelled because the replica has lost its lead. The
+    caller then gets no result, but a started transition still runs to its end. A transition whose
+    caller is cancelled while it waits for its turn is not started.
     """
 
     __slots__ = ("_lock",)
@@ -23,19 +26,19 @@
         self._lock = asyncio.Lock()
 
     async def run(self, transition: Callable[[], Awaitable[StepAnswer]]) -> StepAnswer:
-        """Do a step once all that were asked for before it have ended.
+        """Run a transition after all those requested before it.
 
         Parameters
         ----------
         step
-            May not ask for another step.
+            Must not run another transition: the queue is not reentrant.
         """
         await self._lock.acquire()
         running = asyncio.get_running_loop().create_task(self._finish(transition))
         return await asyncio.shield(running)
 
     async def wait_idle(self) -> None:
-        """Wait until no step is running."""
+        """Wait until no transition is running."""
         async with self._lock:
             return
 
@@ -46,4 +49,4 @@
             self._lock.release()
 
 
-__all__ = ["WholeSteps"]
+__all__ = ["TransitionQueue"]
--- a/src/leadhollow/state/voter_manager.py
+++ b/src/leadhollow/state/voter_manager.py
@@ -1,4 +1,7 @@
-"""Keeps the voter set whole: a leader takes learners in and drops voters that are gone."""
+"""Maintenance of the voter set by the leader: adds learners and removes lost voters.
+
+Used where replicas are found from seeds, so that lost ones can be replaced.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 CHECK_INTERVAL_S = 0.2
 VOTER_LOST_S = 1.5
-"""Longer than an election and a restart; a voter is only given up where another is ready."""
+"""Longer than an election and a restart. A voter is removed only if a replacement is ready."""
 
 CHANGE_TIMEOUT_S = 2.0
 
@@ -25,8 +28,8 @@
 
     Parameters
     ----------
-    wanted
-        Voters that the log should have.
+    voter_count
+        Number of voters that the log should have.
     """
 
     __slots__ = ("_replica", "_voter_count")
@@ -44,15 +47,15 @@
                 await self._change_if_needed()
 
     def _settled(self) -> bool:
-        """Tell whether the last change is committed; there is never more than one on its way."""
+        """Return whether the last change is committed; only one may be in progress at a time."""
         return self._replica.commit_index >= self._replica.voters.index
 
     async def _change_if_needed(self) -> None:
         replica = self._replica
         current = replica.voters
-        standings = self._replica_health()
+        health = self._replica_health()
         voters = choose_voters(
-            current, standings, voter_count=self._voter_count, lost_after_s=VOTER_LOST_S
+            current, health, voter_count=self._voter_count, lost_after_s=VOTER_LOST_S
         )
         if voters is None:
             return
@@ -61,19 +64,19 @@
             before=[voter.replica for voter in current.voters],
             after=[voter.replica for voter in voters],
             silent={
-                standing.peer.replica: round(standing.silence_s, 2)
-                for standing in standings
-                if standing.silence_s >= VOTER_LOST_S
+                replica_health.peer.replica: round(replica_health.silence_s, 2)
+                for replica_health in health
+                if replica_health.silence_s >= VOTER_LOST_S
             },
         )
         try:
             async with active_timeout(CHANGE_TIMEOUT_S):
                 changed = await replica.propose(ChangeVoters(voters=voters))
         except TimeoutError:
-            log.warning("voter change not committed yet", wanted=len(voters))
+            log.warning("voter set change not committed in time", wanted=len(voters))
             return
         if changed.is_err():
-            log.warning("voter change failed", failure=str(changed.unwrap_err()))
+            log.warning("voter set change failed", failure=str(changed.unwrap_err()))
 
     def _replica_health(self) -> list[ReplicaHealth]:
         replica = self._replica
@@ -81,11 +84,11 @@
         return [
             ReplicaHealth(
                 peer=follower.peer,
-                caught_up=follower.match >= replica.commit_index,
+                caught_up=follower.match_index >= replica.commit_index,
                 silence_s=leadership.silence_s(follower.peer.replica),
             )
             for follower in leadership.followers()
         ]
 
 
-__all__ = ["RosterKeeper"]
+__all__ = ["VoterManager"]
--- a/src/leadhollow/state/voter_rules.py
+++ b/src/leadhollow/state/voter_rules.py
@@ -1,4 +1,4 @@
-"""Which voter set should follow the one in force: one change at a time, never fewer in reach."""
+"""Choice of the next voter set: one change at a time, without reducing the reachable voters."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class ReplicaHealth:
-    """What a leader knows of another replica.
+    """State of another replica as the leader sees it.
 
     Parameters
     ----------
     caught_up
-        Whether it holds all that was committed a moment ago.
+        Whether it has all entries that were committed when this was recorded.
     silence_s
-        How long it has not answered.
+        How long it has not answered, in active time.
     """
 
     __slots__ = ("caught_up", "peer", "silence_s")
@@ -35,33 +35,34 @@
 ) -> tuple[Voter, ...] | None:
     """Choose the next voter set.
 
-    A learner at the address of a voter proves that the voter's disk is gone: nobody can vote in
-    its name again, so one change exchanges them. Any other learner is added first, and a voter
-    that is silent is removed afterwards, because two majorities must always share a replica.
+    A learner at the address of a voter proves that the voter's disk is lost. Nothing can vote
+    under the voter's identity again, so one change replaces it by the learner. Any other learner is
+    added first and a silent voter removed by a later change: the majorities before and after a
+    change must share a replica.
 
     Parameters
     ----------
-    wanted
-        Voters that the log should have.
-    gone_after_s
-        Silence after which a voter is given up where another replica can take its place.
+    voter_count
+        Number of voters that the log should have.
+    lost_after_s
+        Silence after which a voter counts as lost if another replica can replace it.
 
     Returns
     -------
     tuple of Voter or None
-        The new set; None where nothing has to change.
+        The new set; None if no change is needed.
     """
     learners = [
-        standing
-        for standing in replicas
-        if standing.peer.replica not in current
-        and standing.caught_up
-        and standing.silence_s < lost_after_s
+        replica
+        for replica in replicas
+        if replica.peer.replica not in current
+        and replica.caught_up
+        and replica.silence_s < lost_after_s
     ]
     silent = [
-        standing.peer
-        for standing in replicas
-        if standing.peer.replica in current and standing.silence_s >= lost_after_s
+        replica.peer
+        for replica in replicas
+        if replica.peer.replica in current and replica.silence_s >= lost_after_s
     ]
     by_address = {voter.address: voter for voter in current.voters}
     for learner in learners:
@@ -72,7 +73,7 @@
         return _without(current, silent[0])
     room = len(current) < voter_count or (silent and len(current) == voter_count)
     if learners and room:
-        chosen = min(learners, key=lambda found: _crowd(current, found.peer, silent))
+        chosen = min(learners, key=lambda found: _count_live_voters(current, found.peer, silent))
         return (*current.voters, chosen.peer)
     return None
 
@@ -81,14 +82,14 @@
     return tuple(voter for voter in current.voters if voter.replica != dropped.replica)
 
 
-def _crowd(current: VoterSet, peer: Voter, silent: Sequence[Voter]) -> int:
-    """Count the live voters of a replica's failure domain."""
-    gone = {voter.replica for voter in silent}
+def _count_live_voters(current: VoterSet, peer: Voter, silent: Sequence[Voter]) -> int:
+    """Count the voters in the failure domain of a replica that are not silent."""
+    silent_replicas = {voter.replica for voter in silent}
     return sum(
         1
         for voter in current.voters
-        if voter.failure_domain == peer.failure_domain and voter.replica not in gone
+        if voter.failure_domain == peer.failure_domain and voter.replica not in silent_replicas
     )
 
 
-__all__ = ["ReplicaStanding", "next_voters"]
+__all__ = ["ReplicaHealth", "choose_voters"]
--- a/src/leadhollow/state/voters.py
+++ b/src/leadhollow/state/voters.py
@@ -1,7 +1,7 @@
-"""Who votes: the set of voters, which changes by entries of the log itself.
+"""Voter sets of the replicated log, which are changed by entries of the log itself.
 
-A set counts from the moment its entry stands in a replica's log, committed or not; an entry that
-is cut off the log takes its set with it.
+A set is in force as soon as its entry is in a replica's log, committed or not. If the entry is cut
+off the log, the set before it is in force again.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class Voter(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica.
+    """A replica that votes, or a learner that may become a voter.
 
     Parameters
     ----------
     replica
-        Identity of its disk; a lost disk comes back under another one.
+        Identity of its disk; a replica that loses its disk gets a new one.
     address
-        Where its frames go.
+        Address at which other replicas reach it.
     """
 
     replica: str
@@ -34,7 +34,7 @@
 
 
 class ChangeVoters(msgspec.Struct, frozen=True, kw_only=True, tag=VOTERS_TAG):
-    """Replaces the voter set; the only command that the log itself reads."""
+    """Command that replaces the voter set; the only one that the log itself decodes."""
 
     voters: tuple[Voter, ...]
 
@@ -43,12 +43,12 @@
 
 
 class VoterSet:
-    """Voters as one entry of the log named them.
+    """Voter set of one entry of the log.
 
     Parameters
     ----------
     index
-        The entry's place in the log; 0 for the set that a replica began with.
+        Log index of the entry; 0 for the set with which a replica started.
     """
 
     __slots__ = ("_by_replica", "index", "voters")
@@ -65,12 +65,12 @@
         return len(self.voters)
 
     def others(self, replica: str) -> list[Voter]:
-        """Give all voters but one."""
+        """Return all voters except one."""
         return [voter for voter in self.voters if voter.replica != replica]
 
 
 class VoterHistory:
-    """The voter sets that stand in a replica's log, the newest last."""
+    """Voter sets in a replica's log, the newest last."""
 
     __slots__ = ("_sets",)
 
@@ -79,16 +79,16 @@
 
     @property
     def current(self) -> VoterSet:
-        """The set in force."""
+        """Voter set in force."""
         return self._sets[-1]
 
     def record_entries(self, entries: Iterable[Entry]) -> bool:
-        """Take the sets that new entries name.
+        """Add the voter sets of new entries.
 
         Returns
         -------
         bool
-            Whether the set changed.
+            Whether the set in force changed.
         """
         changed = False
         for entry in entries:
@@ -99,18 +99,18 @@
         return changed
 
     def revert_from(self, index: int) -> bool:
-        """Drop the sets of entries that were cut off the log; True where the set changed."""
+        """Remove the sets of entries from an index on; return whether the set in force changed."""
         kept = [found for found in self._sets if found.index < index or found.index == 0]
         changed = len(kept) != len(self._sets)
         self._sets = kept
         return changed
 
     def reset(self, *, index: int, voters: Iterable[Voter]) -> None:
-        """Begin from a snapshot."""
+        """Replace all sets by that of a snapshot."""
         self._sets = [VoterSet(index=index, voters=voters)]
 
     def at(self, index: int) -> VoterSet:
-        """Give the set that was in force at an entry."""
+        """Return the set in force at a log index."""
         return max(
             (found for found in self._sets if found.index <= index),
             key=lambda found: found.index,
@@ -118,13 +118,13 @@
         )
 
     def compact_before(self, index: int) -> None:
-        """Forget sets that a snapshot at this index covers, but the one in force there."""
+        """Remove the sets before the one in force at the index of a snapshot."""
         base = self.at(index)
         self._sets = [base, *(found for found in self._sets if found.index > base.index)]
 
 
 def decode_voter_change(entry: Entry) -> tuple[Voter, ...] | None:
-    """Give the voters that an entry names, None where it is another command."""
+    """Return the voters of an entry, None if it is another command."""
     if _TAG_BYTES not in entry.command[:_TAG_WINDOW]:
         return None
     try:
@@ -144,7 +144,7 @@
     Raises
     ------
     msgspec.MsgspecError
-        The bytes are no voters.
+        The bytes are not an encoded voter set.
     """
     return msgspec.msgpack.decode(data, type=tuple[Voter, ...])
 
@@ -152,9 +152,9 @@
 __all__ = [
     "ChangeVoters",
     "Voter",
-    "VoterBook",
+    "VoterHistory",
     "VoterSet",
     "decode_voters",
     "encode_voters",
-    "voters_of",
+    "decode_voter_change",
 ]
--- a/src/leadhollow/state/watch.py
+++ b/src/leadhollow/state/watch.py
@@ -1,4 +1,4 @@
-"""Sends a catalog's changes to whoever watches it."""
+"""Streams a catalog and its changes to the processes that watch it."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 async def serve_catalog(
     catalog: Catalog, request: CatalogWatch, sink: StreamSink
 ) -> Result[None, Failure]:
-    """Send all items newer than the watcher's revision, then each change as it comes.
+    """Send all items newer than the watcher's revision, then every later change.
 
-    A late joiner with revision 0 gets everything: a snapshot is a delta from nothing.
+    A new watcher starts with revision 0 and gets the whole catalog.
     """
     sent = request.from_revision or 0
     first = True
@@ -41,7 +41,7 @@
 
 
 def register_catalog_source(handlers: HandlerTable, catalog: Catalog) -> None:
-    """Serve a catalog that this process itself follows."""
+    """Serve a catalog that this process follows itself."""
 
     async def on_watch(request: CatalogWatch, sink: StreamSink) -> Result[None, Failure]:
         return await serve_catalog(catalog, request, sink)
--- a/tests/state/election_model.py
+++ b/tests/state/election_model.py
@@ -1,8 +1,8 @@
-"""A model of three replicas that runs the real decision functions.
+"""A model of three replicas that uses the real decision functions, for exhaustive search.
 
-A state is a tuple for each replica: term, vote, log (terms), role, votes or matches received.
-Old candidates and leaders go on acting at their old term, which stands for delayed messages; a
-reply may be lost, which stands for a lost message; a restart keeps only what is on disk.
+A state has a tuple for each replica: term, vote, log (terms), role, votes and matches received.
+Former candidates and leaders continue to act in their old term, which models delayed messages. A
+reply may be lost, which models a lost message. A restart keeps only what is on disk.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from typing import NamedTuple
 
 FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
-MOST_TERMS = 3
-MOST_ENTRIES = 2
+MAX_TERMS = 3
+MAX_ENTRIES = 2
 
 
 class ReplicaState(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 class Model:
-    """Steps of the model, with decision functions that a test may replace."""
+    """Transitions of the model; a test may replace decision functions by faulty ones."""
 
     def __init__(
         self, *, rules_module: ModuleType, replaced: dict[str, Callable] | None = None
@@ -50,14 +50,16 @@
 
     def next_states(self, state: State) -> Iterator[State]:
         for number, replica in enumerate(state):
-            yield from self._own_steps(state, number, replica)
+            yield from self._local_transitions(state, number, replica)
             for other in range(3):
                 if other != number:
-                    yield from self._steps_towards(state, number, other)
+                    yield from self._peer_transitions(state, number, other)
 
-    def _own_steps(self, state: State, number: int, replica: ReplicaState) -> Iterator[State]:
-        if replica.role != LEADER and replica.term < MOST_TERMS:
-            stood = ReplicaState(
+    def _local_transitions(
+        self, state: State, number: int, replica: ReplicaState
+    ) -> Iterator[State]:
+        if replica.role != LEADER and replica.term < MAX_TERMS:
+            candidate = ReplicaState(
                 term=replica.term + 1,
                 voted_for=str(number),
                 log=replica.log,
@@ -65,11 +67,11 @@
                 votes=frozenset({number}),
                 commit=replica.commit,
             )
-            yield put(state, number, stood)
+            yield put(state, number, candidate)
         if replica.role == CANDIDATE and len(replica.votes) >= self.quorum_size(3):
             matches = tuple(len(replica.log) if peer == number else 0 for peer in range(3))
             yield put(state, number, replica._replace(role=LEADER, matches=matches))
-        if replica.role == LEADER and len(replica.log) < MOST_ENTRIES:
+        if replica.role == LEADER and len(replica.log) < MAX_ENTRIES:
             log = (*replica.log, replica.term)
             matches = set_at(replica.matches, number, len(log))
             yield put(state, number, replica._replace(log=log, matches=matches))
@@ -90,13 +92,13 @@
                 ReplicaState(term=replica.term, voted_for=replica.voted_for, log=replica.log),
             )
 
-    def _steps_towards(self, state: State, number: int, other: int) -> Iterator[State]:
+    def _peer_transitions(self, state: State, number: int, other: int) -> Iterator[State]:
         if state[number].role == CANDIDATE:
-            yield from self._ask_vote(state, number, other)
+            yield from self._request_vote(state, number, other)
         elif state[number].role == LEADER:
             yield from self._append(state, number, other)
 
-    def _ask_vote(self, state: State, number: int, other: int) -> Iterator[State]:
+    def _request_vote(self, state: State, number: int, other: int) -> Iterator[State]:
         candidate, voter = state[number], state[other]
         granted = self.may_grant_vote(
             request_term=candidate.term,
@@ -114,12 +116,12 @@
         )
         if not granted:
             return
-        follows = ReplicaState(
+        granting = ReplicaState(
             term=candidate.term, voted_for=str(number), log=voter.log, commit=voter.commit
         )
-        lost = put(state, other, follows)
-        yield lost
-        yield put(lost, number, candidate._replace(votes=candidate.votes | {other}))
+        reply_lost = put(state, other, granting)
+        yield reply_lost
+        yield put(reply_lost, number, candidate._replace(votes=candidate.votes | {other}))
 
     def _append(self, state: State, number: int, other: int) -> Iterator[State]:
         leader, follower = state[number], state[other]
@@ -134,40 +136,40 @@
             kept = follower.log if conflict is None else follower.log[: start + conflict]
             log = kept if len(kept) >= len(leader.log) else leader.log
             same_term = follower.term == leader.term
-            taken = ReplicaState(
+            appended = ReplicaState(
                 term=leader.term,
                 voted_for=follower.voted_for if same_term else "",
                 log=log,
                 commit=max(follower.commit, min(leader.commit, len(leader.log))),
             )
-            lost = put(state, other, taken)
-            yield lost
+            reply_lost = put(state, other, appended)
+            yield reply_lost
             matches = set_at(leader.matches, other, len(leader.log))
-            yield put(lost, number, leader._replace(matches=matches))
+            yield put(reply_lost, number, leader._replace(matches=matches))
 
 
-def explore(model: Model, *, most_states: int) -> tuple[int, str | None]:
-    """Search breadth first; give the number of states and the first broken rule."""
-    first: State = (ReplicaState(), ReplicaState(), ReplicaState())
-    seen = {first}
-    queue = deque([(first, frozenset())])
-    while queue and len(seen) < most_states:
+def explore(model: Model, *, max_states: int) -> tuple[int, str | None]:
+    """Search breadth first; return the number of states and the first violated rule, if any."""
+    initial: State = (ReplicaState(), ReplicaState(), ReplicaState())
+    seen = {initial}
+    queue = deque([(initial, frozenset())])
+    while queue and len(seen) < max_states:
         state, committed = queue.popleft()
-        for following in model.next_states(state):
-            if following in seen:
+        for successor in model.next_states(state):
+            if successor in seen:
                 continue
-            violation, now_committed = judge(following, committed)
+            violation, now_committed = find_violation(successor, committed)
             if violation is not None:
                 return len(seen), violation
-            seen.add(following)
-            queue.append((following, now_committed))
-            if len(seen) >= most_states:
+            seen.add(successor)
+            queue.append((successor, now_committed))
+            if len(seen) >= max_states:
                 break
     return len(seen), None
 
 
-def judge(state: State, committed: frozenset) -> tuple[str | None, frozenset]:
-    """Check one state against what was committed on the way to it."""
+def find_violation(state: State, committed: frozenset) -> tuple[str | None, frozenset]:
+    """Check a state against the entries committed on the path to it."""
     leaders = [replica for replica in state if replica.role == LEADER]
     terms = [replica.term for replica in leaders]
     if len(terms) != len(set(terms)):
--- a/tests/state/seeded_group.py
+++ b/tests/state/seeded_group.py
@@ -1,4 +1,4 @@
-"""Control replicas found from seeds, on loopback, that can be stopped, wiped, replaced and cut."""
+"""Test groups of control replicas on loopback, found from seeds, with injected faults."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from leadhollow.wire.server import WireServer
 from tests.support import TOKEN, eventually, free_ports
 
-PORTS = 10  # of each replica
-HOST_NUMBERS = range(11, 40)  # addresses that replicas of a group may have
+PORTS = 10  # per replica
+HOST_NUMBERS = range(11, 40)  # last bytes of the addresses that replicas may use
 MODEL = "model"
 
 
 class SeededNode:
-    """One replica; all have the same port, so each has an address of 127.0.0.0/8 of its own."""
+    """One replica; all use the same port, each on its own address of 127.0.0.0/8."""
 
     def __init__(self, group: SeededGroup, host: str, *, first_start: bool) -> None:
         self.host = host
@@ -34,7 +34,7 @@
             role=NodeRole.CONTROL,
             host=host,
             ports=(group.port, group.port + PORTS - 1),
-            seeds=tuple(f"{seed}:1" for seed in group.told_seeds),
+            seeds=tuple(f"{seed}:1" for seed in group.configured_seeds),
             first_start=first_start,
             data_folder=str(self.folder),
             state=StateSettings(heartbeat_ms=40, election_timeout_ms=200, snapshot_entries=32),
@@ -62,13 +62,15 @@
 
 
 class SeededGroup:
-    """Three seeds, and whatever joins them."""
+    """Three seed replicas and the replicas that join them."""
 
     def __init__(self, *, folder: Path) -> None:
         self.folder = folder
         self.seeds = [f"127.0.0.{number}" for number in (11, 12, 13)]
         self.port = free_ports([f"127.0.0.{number}" for number in HOST_NUMBERS], count=PORTS)
-        self.told_seeds = list(self.seeds)  # what settings name; it may change later
+        self.configured_seeds = list(
+            self.seeds
+        )  # seeds in the settings of new replicas; tests may change them
         self.nodes: dict[str, SeededNode] = {}
         self._number = 0
 
@@ -93,7 +95,7 @@
         shutil.rmtree(self.folder / host)
 
     def cut(self, *hosts: str) -> None:
-        """Cut some replicas off from all others, both ways."""
+        """Disconnect some replicas from all others, in both directions."""
         for name, node in self.nodes.items():
             apart = {
                 other.settings.wire_address
@@ -114,7 +116,7 @@
         return await eventually(self.leader, "a leader")
 
     async def wait_voters(self, *hosts: str) -> None:
-        """Wait until exactly these hosts vote, as the leader sees it."""
+        """Wait until the leader's voter set is committed and consists of exactly these hosts."""
         wanted = sorted(f"{host}:{self.port}" for host in hosts)
 
         def settled() -> bool:
@@ -130,7 +132,7 @@
         await eventually(settled, f"voters {hosts}")
 
     async def accept(self) -> int:
-        """Have one more version named; gives its number once it is acknowledged."""
+        """Name one more version and return its number once it is acknowledged."""
         self._number += 1
         while True:
             leader = await self.wait_leader()
@@ -140,7 +142,7 @@
                 return self._number
 
     def newest(self, host: str) -> int:
-        """Give the newest version that a replica has applied."""
+        """Return the newest version that a replica has applied."""
         catalog = self.nodes[host].replica.machine.catalog
         numbers = [
             int(key.rpartition("/")[2])
--- a/tests/state/test_backup.py
+++ b/tests/state/test_backup.py
@@ -1,4 +1,4 @@
-"""State folders are verified, copied and brought back."""
+"""Verification, backup and restore of state folders."""
 
 from __future__ import annotations
 
@@ -20,7 +20,9 @@
         edit("a", weight=1.0, expected=0, operation_id="x"),
         edit("b", weight=2.0, expected=0, operation_id="y"),
     ]
-    for index, each in enumerate(commands, start=1):  # two writes, so damage to the first is seen
+    for index, each in enumerate(
+        commands, start=1
+    ):  # one write each, so that damage to the first is found
         store.append([Entry(index, 2, encode(each))])
     store.save_vote(Vote(term=2, voted_for="s1"))
     store.close()
@@ -28,32 +30,32 @@
 
 
 class TestVerify:
-    def test_tells_what_is_there(self, folder):
+    def test_reports_the_content_of_the_folder(self, folder):
         found = verify_state(folder).unwrap()
         assert (found.rows, found.last_index, found.term) == (2, 2, 2)
 
-    def test_names_damage(self, folder):
+    def test_reports_damage(self, folder):
         path = folder / LOG_FILE
         data = bytearray(path.read_bytes())
         data[20] ^= 1
         path.write_bytes(data)
         assert verify_state(folder).unwrap_err().code is Code.LOG_DAMAGED
 
-    def test_refuses_what_is_no_folder(self, tmp_path):
+    def test_refuses_an_absent_folder(self, tmp_path):
         assert verify_state(tmp_path / "absent").unwrap_err().code is Code.FILE_UNREADABLE
 
 
 class TestBackup:
-    def test_comes_back_as_it_was(self, folder, tmp_path):
+    def test_restored_state_equals_the_backup(self, folder, tmp_path):
         saved = backup_state(folder, tmp_path / "backup").unwrap()
         assert restore_state(tmp_path / "backup", tmp_path / "other").unwrap() == saved
 
-    def test_never_overwrites_a_state(self, folder, tmp_path):
+    def test_restore_never_overwrites_a_state(self, folder, tmp_path):
         backup_state(folder, tmp_path / "backup")
         failure = restore_state(tmp_path / "backup", folder).unwrap_err()
         assert failure.code is Code.FILE_UNREADABLE
 
-    def test_a_damaged_backup_is_refused(self, folder, tmp_path):
+    def test_damaged_backup_is_refused(self, folder, tmp_path):
         backup_state(folder, tmp_path / "backup")
         data = bytearray((tmp_path / "backup").read_bytes())
         data[-1] ^= 1
--- a/tests/state/test_changing_voters.py
+++ b/tests/state/test_changing_voters.py
@@ -1,4 +1,4 @@
-"""Real replicas found from seeds: lost disks, replacements, cuts, all killed."""
+"""Replicas found from seeds: lost disks, replacements, network partitions, full restarts."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class TestFirstStart:
-    async def test_makes_the_seeds_the_voters(self, group):
+    async def test_seeds_become_the_voters(self, group):
         await group.wait_voters(*group.seeds)
         assert await group.accept() == 1
 
-    async def test_of_one_that_is_no_seed_adds_a_learner(self, group):
+    async def test_replica_that_is_no_seed_becomes_a_learner(self, group):
         await group.start("127.0.0.14", first_start=True)
         await group.accept()
         await eventually(lambda: group.newest("127.0.0.14") == 1, "the learner to learn")
@@ -37,7 +37,7 @@
 
 
 class TestLostDisk:
-    async def test_right_after_an_acknowledgement_loses_nothing(self, group):
+    async def test_loss_right_after_an_acknowledgement_loses_no_entry(self, group):
         number = await group.accept()
         wiped = (await group.wait_leader()).host
         await group.stop(wiped)
@@ -46,7 +46,7 @@
         await group.wait_voters(*group.seeds)
         await eventually(lambda: group.newest(wiped) == number, "the wiped one to learn")
 
-    async def test_of_each_one_after_the_other_loses_nothing(self, group):
+    async def test_loss_of_each_disk_in_turn_loses_no_entry(self, group):
         for host in group.seeds:
             number = await group.accept()
             await group.stop(host)
@@ -57,7 +57,7 @@
             lambda: all(group.newest(host) == number for host in group.seeds), "all to know"
         )
 
-    async def test_while_the_others_lose_power_waits_for_them(self, group):
+    async def test_wiped_replica_makes_no_majority_after_a_power_loss_of_all(self, group):
         number = await group.accept()
         leader = (await group.wait_leader()).host
         first, second = (host for host in group.seeds if host != leader)
@@ -66,13 +66,15 @@
         await group.start(leader)
         await group.start(first)
         await asyncio.sleep(1.0)
-        assert group.leader() is None  # the empty disk must not make a majority
+        assert (
+            group.leader() is None
+        )  # the replica with the empty disk must not count for a majority
         await group.start(second)
         await group.wait_voters(*group.seeds)
         assert group.newest((await group.wait_leader()).host) == number
 
-    async def test_does_not_answer_for_the_disk_before_it(self, group):
-        """The leader goes on sending to the lost replica at the address of the new one."""
+    async def test_wiped_replica_does_not_answer_for_its_former_identity(self, group):
+        """The leader still sends requests for the lost replica to the address of the new one."""
         await group.accept()
         leader = await group.wait_leader()
         lost = next(host for host in group.seeds if host != leader.host)
@@ -87,17 +89,17 @@
 
 
 class TestReplacement:
-    async def test_at_another_address_takes_the_place_of_one_that_is_gone(self, group):
+    async def test_replica_at_another_address_replaces_a_lost_voter(self, group):
         await group.accept()
-        gone = (await group.wait_leader()).host
-        await group.stop(gone)
+        lost = (await group.wait_leader()).host
+        await group.stop(lost)
         await group.start("127.0.0.14")
-        left = [host for host in group.seeds if host != gone]
+        left = [host for host in group.seeds if host != lost]
         await group.wait_voters(*left, "127.0.0.14")
         number = await group.accept()
         await eventually(lambda: group.newest("127.0.0.14") == number)
 
-    async def test_planned_with_the_new_one_first(self, group):
+    async def test_planned_replacement_adds_the_new_replica_first(self, group):
         await group.accept()
         await group.start("127.0.0.14")
         await eventually(lambda: group.newest("127.0.0.14") == 1, "the new one to learn")
@@ -108,19 +110,19 @@
         await group.wait_voters(*left, "127.0.0.14")
         assert await group.accept() == 2
 
-    async def test_of_all_three_one_after_the_other(self, group):
+    async def test_all_three_voters_are_replaced_in_turn(self, group):
         hosts = list(group.seeds)
         for number, new in enumerate(("127.0.0.21", "127.0.0.22", "127.0.0.23")):
             await group.accept()
-            gone = hosts.pop(0)
-            await group.stop(gone)
-            group.told_seeds = [gone, *hosts]  # one of them is down by now
+            stopped = hosts.pop(0)
+            await group.stop(stopped)
+            group.configured_seeds = [stopped, *hosts]  # the first of them is stopped
             hosts.append(new)
             await group.start(new)
             await group.wait_voters(*hosts)
             assert number + 1 == group.newest((await group.wait_leader()).host)
 
-    async def test_one_that_was_replaced_comes_back_as_learner(self, group):
+    async def test_replaced_voter_returns_as_learner(self, group):
         await group.accept()
         away = next(host for host in group.seeds if host != (group.leader() or group).host)
         await group.stop(away)
@@ -133,8 +135,8 @@
         await group.wait_voters(*left, "127.0.0.14")
 
 
-class TestCuts:
-    async def test_a_cut_off_leader_confirms_no_read(self, group):
+class TestPartitions:
+    async def test_isolated_leader_confirms_no_read(self, group):
         old = await group.wait_leader()
         await group.accept()
         group.cut(old.host)
@@ -145,7 +147,7 @@
         confirmed = await old.service.gateway.confirm(timeout_s=0.5)
         assert confirmed.unwrap_err().code is Code.READ_UNCONFIRMED
 
-    async def test_half_cut_off_with_edits_on_both_sides(self, group):
+    async def test_edit_of_an_isolated_leader_is_lost_and_the_new_leader_wins(self, group):
         old = await group.wait_leader()
         await group.accept()
         await group.wait_voters(*group.seeds)
@@ -160,16 +162,16 @@
         group.heal()
         await eventually(lambda: group.newest(old.host) == number, "the old leader")
 
-    async def test_a_read_is_confirmed_by_any_replica(self, group):
+    async def test_any_replica_confirms_a_read(self, group):
         number = await group.accept()
         for node in group.nodes.values():
             assert (await node.service.gateway.confirm(timeout_s=2.0)).is_ok()
             assert group.newest(node.host) == number
 
 
-class TestAllKilled:
-    async def test_come_back_with_everything(self, group):
-        for _ in range(40):  # more than one snapshot
+class TestFullRestart:
+    async def test_restart_of_all_replicas_keeps_all_entries(self, group):
+        for _ in range(40):  # enough entries for more than one snapshot
             number = await group.accept()
         await group.stop_all()
         for host in group.seeds:
@@ -179,7 +181,7 @@
             lambda: all(group.newest(host) == number for host in group.seeds), "all to know"
         )
 
-    async def test_a_learner_gets_the_voters_from_a_snapshot(self, group):
+    async def test_learner_gets_the_voter_set_from_a_snapshot(self, group):
         for _ in range(40):
             number = await group.accept()
         node = await group.start("127.0.0.14")
@@ -187,8 +189,8 @@
         await eventually(lambda: len(node.replica.voters) == 3, "the voters")
 
 
-class TestHandOver:
-    async def test_gives_the_lead_to_another_one_at_once(self, group):
+class TestLeadershipTransfer:
+    async def test_another_replica_leads_after_the_transfer(self, group):
         await group.accept()
         leader = await group.wait_leader()
         assert await leader.replica.leadership.transfer_leadership(2.0)
@@ -198,14 +200,16 @@
 
 
 class TestFullDisk:
-    async def test_of_the_leader_lets_another_lead_and_is_made_good(self, group, monkeypatch):
+    async def test_another_replica_leads_while_the_disk_of_the_leader_is_full(
+        self, group, monkeypatch
+    ):
         await group.accept()
-        full = await group.wait_leader()
+        full_node = await group.wait_leader()
         append, recover = LogStore.append, LogStore.recover
 
         def refuse(work):
             def wrapped(store, *arguments):
-                if store is full.replica.store:
+                if store is full_node.replica.store:
                     return Err(Failure(code=Code.DISK_FAILED, detail="no space"))
                 return work(store, *arguments)
 
@@ -215,6 +219,6 @@
             patch.setattr(LogStore, "append", refuse(append))
             patch.setattr(LogStore, "recover", refuse(recover))
             number = await group.accept()
-            assert full.replica.failed
-        await eventually(lambda: not full.replica.failed, "the disk to be tried again")
-        await eventually(lambda: group.newest(full.host) == number, "the entry it missed")
+            assert full_node.replica.failed
+        await eventually(lambda: not full_node.replica.failed, "the disk to be tried again")
+        await eventually(lambda: group.newest(full_node.host) == number, "the entry it missed")
--- a/tests/state/test_concurrent_edits.py
+++ b/tests/state/test_concurrent_edits.py
@@ -1,4 +1,4 @@
-"""Two operators edit one row at equal revisions a thousand times, and resend after lost answers."""
+"""Two operators edit the same row revision concurrently and resend commands after lost replies."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 ROUNDS = 1_000
 STEP_DOWNS = (300, 600)
-"""Rounds before which the leader steps down. The replica that led then lags behind the next one, so
-the true revision is that of the last accepted edit and not what any one replica holds."""
+"""Rounds before which the leader steps down. The former leader then lags behind the new one.
+The current revision is that of the last accepted edit, not the one that any single replica has."""
 
-DROPPED = 3  # every third answer
+DROPPED = 3  # every third reply is lost
 
 
 class Operator:
-    """Edits through the state client; some answers never reach it, so it sends again."""
+    """Edits through the state client; resends a command after each lost reply."""
 
     def __init__(self, name: str, client: StateClient) -> None:
         self.name = name
@@ -36,8 +36,10 @@
             self.accepted[operation_id] = answer.unwrap().answer.revision
 
 
-class TestRace:
-    async def test_each_accepted_edit_stands_once_in_one_order_on_every_replica(self, tmp_path):
+class TestConcurrentEdits:
+    async def test_each_accepted_edit_is_applied_once_and_in_one_order_on_every_replica(
+        self, tmp_path
+    ):
         group = ReplicaGroup(folder=tmp_path, count=3, snapshot_entries=400)
         await group.start_all()
         await group.wait_leader()
@@ -53,7 +55,7 @@
             expected = max(accepted.values(), default=0)
             await asyncio.gather(*(operator.edit(expected) for operator in operators))
             accepted = {**operators[0].accepted, **operators[1].accepted}
-            assert len(accepted) == turn + 1  # of two at one revision, exactly one
+            assert len(accepted) == turn + 1  # exactly one of two edits at the same revision
         for node in group.nodes.values():
             machine = node.replica.machine
             await eventually(lambda: len(machine.history(None)) == ROUNDS)  # noqa: B023
@@ -64,7 +66,7 @@
 
 
 async def step_down(group: ReplicaGroup) -> None:
-    """Let the leader give up; whoever leads next, perhaps the same one, begins a new term."""
+    """Let the leader step down; the next leader, perhaps the same replica, starts a new term."""
     leader = await group.wait_leader()
     leader.replica._state.become_follower("")
 
--- a/tests/state/test_disk_thread.py
+++ b/tests/state/test_disk_thread.py
@@ -1,4 +1,4 @@
-"""Work on a disk, beside an event loop that goes on."""
+"""Disk work in a thread beside the event loop."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 class TestDiskThread:
-    # Guards against: a replica that stops holds up its process while its disk hangs.
-    async def test_waits_for_work_in_progress_without_holding_up_the_loop(self):
+    # Guards against: a replica that stops blocks the event loop while its disk hangs.
+    async def test_stop_waits_for_pending_work_without_blocking_the_loop(self):
         disk = DiskThread()
         work = BlockingWork()
         running = asyncio.create_task(disk.run(work))
@@ -19,7 +19,7 @@
         assert running.done()
         assert not work.held_up_loop
 
-    async def test_ends_at_once_where_there_is_none(self):
+    async def test_stop_returns_at_once_without_pending_work(self):
         disk = DiskThread()
         assert await disk.run(lambda: 1) == 1
         await disk.stop()
--- a/tests/state/test_log_store.py
+++ b/tests/state/test_log_store.py
@@ -1,4 +1,4 @@
-"""The log on disk: what a crash, a torn tail and a flipped byte do to it."""
+"""The log on disk after crashes, incomplete writes and damage."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 class TestAppend:
-    def test_lasts_over_a_reopening(self, store, tmp_path):
+    def test_entries_and_vote_are_kept_over_a_reopening(self, store, tmp_path):
         assert store.append(entries(1, 5)).is_ok()
         assert store.save_vote(Vote(term=3, voted_for="s1")).is_ok()
         again = reopen(store, tmp_path)
         assert [entry.index for entry in again.entries] == [1, 2, 3, 4, 5]
         assert again.vote == Vote(term=3, voted_for="s1")
 
-    def test_after_truncation_replaces_the_rest(self, store, tmp_path):
+    def test_append_after_truncation_replaces_the_rest(self, store, tmp_path):
         store.append(entries(1, 5))
         assert store.truncate_from(3).is_ok()
         store.append(entries(3, 4, term=2))
@@ -59,7 +59,7 @@
             (4, 2),
         ]
 
-    def test_after_a_cut_within_one_write_keeps_what_was_before(self, store, tmp_path):
+    def test_truncation_within_a_record_keeps_the_entries_before(self, store, tmp_path):
         store.append(entries(1, 5))
         assert store.truncate_from(4).is_ok()
         again = reopen(store, tmp_path)
@@ -73,7 +73,7 @@
         assert again.open().is_ok()
         assert again.entries == entries(1, 3)
 
-    def test_a_refused_write_is_made_good_later(self, store, tmp_path, monkeypatch):
+    def test_recover_repairs_the_log_after_a_failed_sync(self, store, tmp_path, monkeypatch):
         store.append(entries(1, 2))
 
         def refuse(descriptor: int) -> None:
@@ -88,14 +88,14 @@
         assert store.append(entries(3, 4)).is_ok()
         assert reopen(store, tmp_path).entries == entries(1, 4)
 
-    def test_a_blank_disk_is_told_apart(self, store):
+    def test_folder_without_a_vote_is_never_used(self, store):
         assert store.never_used
         store.save_vote(Vote(term=1))
         assert not store.never_used
 
 
 class TestSnapshot:
-    def test_drops_what_it_covers(self, store, tmp_path):
+    def test_snapshot_removes_the_entries_it_covers(self, store, tmp_path):
         store.append(entries(1, 9))
         assert store.save_snapshot(Snapshot(last_index=6, last_term=1, data=b"state")).is_ok()
         again = reopen(store, tmp_path)
@@ -104,8 +104,8 @@
         assert again.term_at(6) == 1
         assert again.term_at(5) is None
 
-    def test_readers_see_one_log_while_it_is_taken(self, store, monkeypatch):
-        """The event loop reads the log while the disk's thread takes a snapshot."""
+    def test_readers_see_a_consistent_log_while_a_snapshot_is_saved(self, store, monkeypatch):
+        """The event loop reads the log while the disk thread saves a snapshot."""
         store.append(entries(1, 9))
         seen = []
         sync = os.fsync
@@ -120,13 +120,13 @@
         assert seen
         assert all(found == [8, 9] for found in seen)
 
-    def test_ahead_of_the_log_replaces_it(self, store):
+    def test_snapshot_ahead_of_the_log_replaces_it(self, store):
         store.append(entries(1, 3))
         store.save_snapshot(Snapshot(last_index=10, last_term=2, data=b"state"))
         assert store.entries == []
         assert store.last_index == 10
 
-    def test_a_crash_before_the_shorter_log_is_harmless(self, store, tmp_path):
+    def test_crash_between_snapshot_and_shortened_log_is_harmless(self, store, tmp_path):
         store.append(entries(1, 9))
         log = (tmp_path / LOG_FILE).read_bytes()
         store.save_snapshot(Snapshot(last_index=6, last_term=1, data=b"state"))
@@ -138,7 +138,7 @@
 
 
 class TestDamage:
-    def test_a_torn_tail_is_cut(self, store, tmp_path):
+    def test_incomplete_last_record_is_cut_off(self, store, tmp_path):
         store.append(entries(1, 4))
         store.append(entries(5, 5))
         store.close()
@@ -149,8 +149,8 @@
         assert again.last_index == 4
 
     @pytest.mark.parametrize("missing", ["first", "middle", "last"])
-    def test_any_part_of_a_write_that_was_not_synced_may_be_missing(self, store, tmp_path, missing):
-        """After a loss of power a part in the middle may be gone while later parts are there."""
+    def test_any_part_of_an_unsynced_write_may_be_missing(self, store, tmp_path, missing):
+        """After a power loss a part in the middle may be missing while later parts are present."""
         store.append(entries(1, 2))
         path = tmp_path / LOG_FILE
         synced = path.stat().st_size
@@ -165,7 +165,7 @@
         assert again.open().is_ok()
         assert again.entries == entries(1, 2)
 
-    def test_a_flipped_byte_in_the_middle_refuses_to_start(self, store, tmp_path):
+    def test_damaged_record_before_a_complete_one_refuses_to_open(self, store, tmp_path):
         store.append(entries(1, 2))
         store.append(entries(3, 5))
         store.close()
@@ -177,14 +177,14 @@
         assert failure.code is Code.LOG_DAMAGED
         assert "offset 4" in failure.detail
 
-    def test_a_damaged_vote_refuses_to_start(self, store, tmp_path):
+    def test_damaged_vote_refuses_to_open(self, store, tmp_path):
         store.save_vote(Vote(term=3, voted_for="s1"))
         store.close()
         path = tmp_path / "vote"
         path.write_bytes(path.read_bytes()[:-1] + b"\xff")
         assert LogStore(folder=tmp_path).open().unwrap_err().code is Code.SNAPSHOT_DAMAGED
 
-    def test_a_file_of_another_kind_refuses_to_start(self, tmp_path):
+    def test_file_of_another_kind_refuses_to_open(self, tmp_path):
         (tmp_path / LOG_FILE).write_bytes(b"not a log at all")
         assert LogStore(folder=tmp_path).open().unwrap_err().code is Code.LOG_DAMAGED
 
@@ -195,7 +195,7 @@
         suppress_health_check=[HealthCheck.function_scoped_fixture],
     )
     @given(cut=st.integers(0, 400), flip=st.integers(0, 400), mask=st.integers(1, 255))
-    def test_no_damage_invents_or_changes_an_entry(self, tmp_path, cut, flip, mask):
+    def test_damage_never_adds_or_changes_an_entry(self, tmp_path, cut, flip, mask):
         folder = tmp_path / f"{cut}-{flip}-{mask}"
         store = LogStore(folder=folder)
         store.open()
@@ -213,14 +213,14 @@
         again.close()
 
 
-class TestWholeFiles:
-    def test_round_trip(self, tmp_path):
+class TestReplaceFile:
+    def test_written_payload_is_read_back(self, tmp_path):
         assert replace_file(tmp_path / "file", b"payload").is_ok()
         assert read_file(tmp_path / "file").unwrap() == b"payload"
 
-    def test_absent_is_none(self, tmp_path):
+    def test_absent_file_reads_as_none(self, tmp_path):
         assert read_file(tmp_path / "file").unwrap() is None
 
-    def test_a_refused_write_is_a_result(self, tmp_path):
+    def test_failed_write_is_returned_as_failure(self, tmp_path):
         failure = replace_file(tmp_path / "absent" / "file", b"payload").unwrap_err()
         assert failure.code is Code.DISK_FAILED
