--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -1,4 +1,4 @@
-"""Edits, versions, leases and claims as the replicated log drives them."""
+"""Commands of the replicated log applied to the state machine."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class TestEdits:
-    def test_two_operators_at_equal_revisions_the_first_wins(self):
+    def test_first_of_two_edits_at_the_same_revision_wins(self):
         machine = StateMachine()
         machine.apply(1, edit("a", weight=1.0, expected=0, operation_id="x"))
         first = machine.apply(2, edit("a", weight=2.0, expected=1, operation_id="y"))
@@ -57,14 +57,14 @@
         assert second.current[0].revision == 2
         assert second.current[0].value.row.weight == 2.0
 
-    def test_a_resent_operation_gets_the_first_answer(self):
+    def test_resent_operation_gets_the_first_answer(self):
         machine = StateMachine()
         command = edit("a", weight=1.0, expected=0, operation_id="x")
         first = machine.apply(1, command)
         assert machine.apply(2, command) == first
         assert machine.catalog.item("row/a").revision == 1
 
-    def test_a_resent_operation_gets_the_first_answer_after_a_snapshot(self):
+    def test_resent_operation_gets_the_first_answer_after_a_snapshot(self):
         machine = StateMachine()
         command = edit("a", weight=1.0, expected=0, operation_id="x")
         first = machine.apply(1, command)
@@ -72,13 +72,13 @@
         restored.restore(machine.snapshot())
         assert restored.apply(2, command) == first
 
-    def test_another_edit_under_a_used_operation_id_is_refused(self):
+    def test_different_edit_with_a_used_operation_id_is_refused(self):
         machine = StateMachine()
         machine.apply(1, edit("a", weight=1.0, expected=0, operation_id="x"))
         other = machine.apply(2, edit("a", weight=2.0, expected=1, operation_id="x"))
         assert other.code == Code.OPERATION_REUSED
 
-    def test_an_import_with_one_conflict_changes_nothing(self):
+    def test_edit_with_one_conflict_changes_nothing(self):
         machine = StateMachine()
         machine.apply(1, edit("a", weight=1.0, expected=0, operation_id="x"))
         edits = (
@@ -89,7 +89,7 @@
         assert answer.code == Code.REVISION_CONFLICT
         assert machine.catalog.row("b") is None
 
-    def test_an_unpublished_version_is_refused(self):
+    def test_unpublished_version_is_refused(self):
         machine = StateMachine()
         models = {"dispatch": ModelChoice(version="v1")}
         bad = RowEdit(group="a", expected_revision=0, row=row("a", models=models))
@@ -97,27 +97,29 @@
         assert answer.code == Code.VERSION_UNKNOWN
         assert "a.models.dispatch.version" in answer.detail
 
-    def test_a_key_of_another_group_is_refused(self):
+    def test_key_of_another_group_is_refused(self):
         machine = StateMachine()
         machine.apply(1, edit("a", weight=1.0, expected=0, operation_id="x"))
-        stolen = row("a")
-        thief = RowEdit(
+        other_row = row("a")
+        conflicting = RowEdit(
             group="b",
             expected_revision=0,
-            row=row("b").__class__(group="b", weight=1.0, key_sha256s=stolen.key_sha256s),
+            row=row("b").__class__(group="b", weight=1.0, key_sha256s=other_row.key_sha256s),
         )
-        answer = machine.apply(2, EditRows(operation_id="y", operator="o", edits=(thief,)))
+        answer = machine.apply(2, EditRows(operation_id="y", operator="o", edits=(conflicting,)))
         assert answer.code == Code.ROW_INVALID
 
-    def test_a_removed_row_may_be_made_again(self):
+    def test_removed_row_can_be_created_again(self):
         machine = StateMachine()
         machine.apply(1, edit("a", weight=1.0, expected=0, operation_id="x"))
-        gone = RowEdit(group="a", expected_revision=1, row=None)
-        assert machine.apply(2, EditRows(operation_id="y", operator="o", edits=(gone,))).code == 0
+        removal = RowEdit(group="a", expected_revision=1, row=None)
+        assert (
+            machine.apply(2, EditRows(operation_id="y", operator="o", edits=(removal,))).code == 0
+        )
         assert machine.apply(3, edit("a", weight=2.0, expected=0, operation_id="z")).code == 0
         assert [entry.revision for entry in machine.history("a")] == [1, 2, 3]
 
-    def test_the_version_before_is_kept_for_the_rollout(self):
+    def test_previous_version_is_kept_for_the_rollout(self):
         machine = StateMachine()
         machine.apply(1, publish("v1", "r1"))
         machine.apply(2, publish("v2", "r2"))
@@ -134,7 +136,7 @@
 
 
 class TestVersions:
-    def test_can_never_mean_other_bytes(self):
+    def test_published_version_cannot_change_its_root(self):
         machine = StateMachine()
         assert machine.apply(1, publish("v1", "r1")).code == 0
         assert machine.apply(2, publish("v1", "r2")).code == Code.VERSION_IMMUTABLE
@@ -153,25 +155,25 @@
 
 
 class TestClaims:
-    def test_a_second_claim_finds_the_first_running(self):
+    def test_second_claim_finds_the_first_running(self):
         machine = StateMachine()
         assert machine.apply(1, claim()).fresh
         again = machine.apply(2, claim(request_id="other"))
         assert (again.fresh, again.code) == (False, Code.IDEMPOTENCY_RUNNING)
 
-    def test_a_finished_claim_gives_its_answer(self):
+    def test_claim_of_a_finished_request_returns_its_result(self):
         machine = StateMachine()
         machine.apply(1, claim())
         machine.apply(2, finish(Outcome.EXECUTED))
         assert machine.apply(3, claim(request_id="o")).finished.body == b"first answer"
 
-    def test_the_same_key_with_another_request_is_refused(self):
+    def test_used_key_with_another_digest_is_refused(self):
         machine = StateMachine()
         machine.apply(1, claim())
         other = machine.apply(2, claim(digest="other", request_id="o"))
         assert other.code == Code.IDEMPOTENCY_KEY_REUSED
 
-    def test_a_request_that_was_not_run_frees_its_key(self):
+    def test_request_that_was_not_executed_frees_its_key(self):
         machine = StateMachine()
         machine.apply(1, claim())
         machine.apply(2, finish(Outcome.NOT_EXECUTED))
@@ -183,7 +185,7 @@
         machine.apply(2, finish(Outcome.NOT_EXECUTED, request_id="other"))
         assert not machine.apply(3, claim(request_id="o")).fresh
 
-    def test_expiry_forgets_only_old_ones(self):
+    def test_expiry_removes_only_old_claims(self):
         machine = StateMachine()
         machine.apply(1, claim(key="old"))
         machine.apply(2, claim(key="new"))
@@ -192,7 +194,7 @@
 
 
 class TestDrains:
-    def test_are_set_and_taken_back(self):
+    def test_drain_is_started_and_ended(self):
         machine = StateMachine()
         for index, draining in enumerate((True, False), start=1):
             command = SetDrain(operation_id=str(index), operator="o", server="s", draining=draining)
--- a/tests/state/test_replica.py
+++ b/tests/state/test_replica.py
@@ -1,4 +1,4 @@
-"""Real replicas over loopback sockets: elections, cuts, lost disks, restarts."""
+"""Replicas over loopback sockets: elections, network partitions, lost disks, restarts."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class TestElection:
-    async def test_gives_one_leader(self, replica_group):
+    async def test_election_has_one_leader(self, replica_group):
         await replica_group.wait_leader()
         assert replica_group.roles().count(ReplicaRole.LEADER) == 1
 
-    async def test_follows_the_loss_of_the_leader(self, replica_group):
+    async def test_another_leader_is_elected_after_the_loss_of_the_leader(self, replica_group):
         first = await replica_group.wait_leader()
         assert (await replica_group.accept("a", 1.0, "op-1")).code == 0
         await replica_group.wait_voters()
@@ -29,7 +29,7 @@
         second = await replica_group.wait_leader(other_than=first.vm)
         assert replica_group.weights(second.vm) == {"a": 1.0}
 
-    async def test_a_replica_without_majority_is_not_ready(self, replica_group):
+    async def test_leader_without_a_majority_is_not_ready(self, replica_group):
         leader = await replica_group.wait_leader()
         for vm in [vm for vm in replica_group.nodes if vm != leader.vm]:
             await replica_group.stop(vm)
@@ -37,7 +37,7 @@
 
 
 class TestFirstElection:
-    async def test_after_a_restart_of_all_waits_for_no_leader_that_nobody_heard(self, tmp_path):
+    async def test_restart_of_all_replicas_elects_before_the_election_timeout(self, tmp_path):
         group = ReplicaGroup(folder=tmp_path, count=3, election_timeout_ms=LONG_ELECTION_MS)
         await group.start_all()
         await group.wait_leader()
@@ -49,7 +49,7 @@
         await group.stop_all()
         assert took_ms < LONG_ELECTION_MS
 
-    async def test_goes_on_quickly_where_one_of_them_has_lost_its_disk(self, tmp_path):
+    async def test_restart_elects_before_the_timeout_if_one_disk_is_lost(self, tmp_path):
         group = ReplicaGroup(folder=tmp_path, count=3, election_timeout_ms=LONG_ELECTION_MS)
         await group.start_all()
         assert (await group.accept("a", 1.0, "op-1")).code == 0
@@ -64,7 +64,7 @@
         assert weights == {"a": 1.0}
         assert took_ms < LONG_ELECTION_MS
 
-    async def test_does_not_come_quickly_while_a_voter_is_silent(self, tmp_path):
+    async def test_restart_waits_for_the_timeout_while_a_voter_is_silent(self, tmp_path):
         group = ReplicaGroup(folder=tmp_path, count=3, election_timeout_ms=LONG_ELECTION_MS)
         await group.start_all()
         await group.wait_leader()
@@ -74,9 +74,9 @@
         await asyncio.sleep(1.0)
         leader = group.leader()
         await group.stop_all()
-        assert leader is None  # the third one may lead, and its lease may still count on them
+        assert leader is None  # the third may lead with a lease that relies on these two
 
-    async def test_a_replica_that_restarts_alone_disturbs_no_leader(self, replica_group):
+    async def test_restart_of_one_follower_does_not_disturb_the_leader(self, replica_group):
         leader = await replica_group.wait_leader()
         term = leader.replica.term
         follower = next(vm for vm in replica_group.nodes if vm != leader.vm)
@@ -89,7 +89,7 @@
 
 
 class TestPartition:
-    async def test_a_cut_off_leader_accepts_nothing(self, replica_group):
+    async def test_isolated_leader_accepts_no_edit(self, replica_group):
         old = await replica_group.wait_leader()
         await replica_group.accept("a", 1.0, "op-1")
         replica_group.isolate(old.vm)
@@ -103,7 +103,9 @@
         await eventually(lambda: replica_group.weights(old.vm) == {"a": 2.0}, "the old leader")
         assert replica_group.weights(new.vm) == {"a": 2.0}
 
-    async def test_a_cut_off_follower_does_not_disturb_when_it_returns(self, replica_group):
+    async def test_isolated_follower_does_not_disturb_the_leader_when_it_returns(
+        self, replica_group
+    ):
         leader = await replica_group.wait_leader()
         term = leader.replica.term
         cut = next(vm for vm in replica_group.nodes if vm != leader.vm)
@@ -116,7 +118,7 @@
 
 
 class TestUnknownOutcome:
-    async def test_an_edit_sent_again_after_its_leader_lost_the_majority_is_accepted_once(
+    async def test_edit_resent_after_its_leader_lost_the_majority_is_accepted_once(
         self, replica_group
     ):
         assert (await replica_group.accept("a", 1.0, "op-1")).code == 0
@@ -132,25 +134,25 @@
 
 
 def lose_majority_at_next_append(group: ReplicaGroup, leader: Node) -> None:
-    """Cut a leader off once a follower has written what it appends, so that it never hears so."""
+    """Isolate the leader once a follower has written an entry, so that the reply is lost."""
     for node in group.nodes.values():
         if node is leader:
             continue
         append = node.handlers.call_handler(AppendRequest())
         assert append is not None
 
-        async def write_and_cut_off(request, connection, append=append):
+        async def write_and_isolate(request, connection, append=append):
             written = await append(request, connection)
             if request.leader == leader.vm and request.entries:
                 group.isolate(leader.vm)
                 return Err(Failure(code=Code.PEER_LOST))
             return written
 
-        node.handlers.on_call(AppendRequest, write_and_cut_off)
+        node.handlers.on_call(AppendRequest, write_and_isolate)
 
 
 class TestRestart:
-    async def test_of_all_after_hundreds_of_edits_keeps_every_one(self, tmp_path):
+    async def test_restart_of_all_replicas_keeps_every_edit(self, tmp_path):
         group = ReplicaGroup(folder=tmp_path, count=3, snapshot_entries=50)
         await group.start_all()
         for number in range(200):
@@ -163,10 +165,10 @@
         assert group.weights(leader.vm) == before
         assert len(leader.replica.machine.history(None)) == 200
         repeated = await group.accept("g-0", 1.0, "op-0")
-        assert repeated.code == Code.OPERATION_REUSED  # the row's revision moved on since
+        assert repeated.code == Code.OPERATION_REUSED  # the row has a newer revision by now
         await group.stop_all()
 
-    async def test_with_a_torn_tail_catches_up(self, replica_group):
+    async def test_replica_with_an_incomplete_last_record_catches_up(self, replica_group):
         await replica_group.accept("a", 1.0, "op-1")
         follower = next(
             vm
@@ -179,7 +181,7 @@
         assert (await replica_group.start(follower)).is_ok()
         await eventually(lambda: replica_group.weights(follower) == {"a": 1.0}, "the follower")
 
-    async def test_with_damage_in_the_middle_refuses(self, replica_group):
+    async def test_replica_with_a_damaged_record_refuses_to_start(self, replica_group):
         for number in range(5):
             await replica_group.accept("a", float(number + 1), f"op-{number}")
         follower = next(
@@ -198,7 +200,7 @@
 
 
 class TestLostDisk:
-    async def test_learns_before_it_votes(self, replica_group):
+    async def test_wiped_replica_catches_up_before_it_votes(self, replica_group):
         await replica_group.accept("a", 1.0, "op-1")
         wiped = next(
             vm
@@ -218,13 +220,13 @@
         await replica_group.start(wiped)
         await replica_group.start(other)
         await asyncio.sleep(1.0)
-        assert replica_group.leader() is None  # the wiped one must not make a majority
+        assert replica_group.leader() is None  # the wiped replica must not count for a majority
         await replica_group.start(leader)
         await replica_group.wait_leader()
         await eventually(lambda: replica_group.nodes[wiped].replica.vote.voter, "the vote back")
         assert replica_group.weights(wiped) == {"a": 1.0}
 
-    async def test_a_second_loss_after_the_repair_loses_nothing(self, replica_group):
+    async def test_loss_of_each_disk_in_turn_loses_no_edit(self, replica_group):
         await replica_group.accept("a", 1.0, "op-1")
         for round_number, vm in enumerate(list(replica_group.nodes)):
             await replica_group.stop(vm)
@@ -238,7 +240,9 @@
 
 
 class TestDiskFailure:
-    async def test_takes_the_replica_out_and_loses_nothing(self, replica_group, monkeypatch):
+    async def test_failed_disk_takes_the_leader_out_and_loses_no_edit(
+        self, replica_group, monkeypatch
+    ):
         leader = await replica_group.wait_leader()
         await replica_group.accept("a", 1.0, "op-1")
         full_disk = leader.replica.store
--- a/tests/state/test_row_rules.py
+++ b/tests/state/test_row_rules.py
@@ -1,4 +1,4 @@
-"""Bad rows are refused by field."""
+"""Invalid rows are refused with the name of the field."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TestCheckRow:
-    def test_a_good_row_passes(self):
+    def test_valid_row_passes(self):
         assert check_row(row("a", models={"m": ModelChoice(version="v1")})) is None
 
     @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
             ({"key_sha256s": ("0" * 64, "1" * 64, "2" * 64)}, "key_sha256s"),
         ],
     )
-    def test_a_bad_field_is_named(self, changed, field):
+    def test_invalid_field_is_named(self, changed, field):
         failure = check_row(msgspec.structs.replace(row("a"), **changed))
         assert failure.code is Code.ROW_INVALID
         assert failure.field.endswith(field)
--- a/tests/state/test_rules.py
+++ b/tests/state/test_rules.py
@@ -1,4 +1,4 @@
-"""The election and commit rules, one by one and in an exhaustive small search."""
+"""Election and commit rules: unit tests and an exhaustive search of a small model."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 class TestQuorum:
     @pytest.mark.parametrize(("replicas", "expected"), [(1, 1), (3, 2), (4, 3), (5, 3)])
-    def test_is_the_smallest_majority(self, replicas, expected):
+    def test_quorum_is_the_smallest_majority(self, replicas, expected):
         assert rules.quorum_size(replicas) == expected
 
 
@@ -27,7 +27,7 @@
         }
         return rules.may_grant_vote(**{**given, **changed})
 
-    def test_given_to_a_current_candidate(self):
+    def test_vote_is_granted_to_a_candidate_with_a_current_log(self):
         assert self.grant()
 
     @pytest.mark.parametrize(
@@ -40,21 +40,21 @@
             {"request_term": 2, "voted_for": "b"},
         ],
     )
-    def test_refused(self, changed):
+    def test_vote_is_refused(self, changed):
         assert not self.grant(**changed)
 
-    def test_repeated_to_the_same_candidate(self):
+    def test_vote_is_repeated_for_the_same_candidate(self):
         assert self.grant(request_term=2, voted_for="a")
 
 
 class TestCommit:
-    def test_needs_a_majority(self):
+    def test_commit_needs_a_majority(self):
         index = rules.committed_index(
             match_indexes=[5, 2, 2], current_commit=0, term_of_majority_index=4, term=4
         )
         assert index == 2
 
-    def test_of_an_earlier_term_waits_for_one_of_the_own(self):
+    def test_entry_of_an_earlier_term_waits_for_an_entry_of_the_current_term(self):
         index = rules.committed_index(
             match_indexes=[5, 5, 2], current_commit=1, term_of_majority_index=3, term=4
         )
@@ -62,10 +62,10 @@
 
 
 class TestExhaustiveSearch:
-    """Every order of votes, appends, lost replies and restarts of three replicas, bounded."""
+    """Bounded search of all orders of votes, appends, lost replies and restarts."""
 
-    def test_no_order_breaks_a_rule(self):
-        visited, violation = explore(Model(rules_module=rules), most_states=40_000)
+    def test_no_order_of_events_violates_a_rule(self):
+        visited, violation = explore(Model(rules_module=rules), max_states=40_000)
         assert violation is None
         assert visited == 40_000
 
@@ -77,7 +77,7 @@
             {"quorum_size": lambda replicas: 1},
         ],
     )
-    def test_a_planted_bug_is_found(self, broken):
+    def test_an_injected_fault_is_found(self, broken):
         model = Model(rules_module=rules, replaced=broken)
-        _, violation = explore(model, most_states=40_000)
+        _, violation = explore(model, max_states=40_000)
         assert violation is not None
--- a/tests/state/test_sheet.py
+++ b/tests/state/test_sheet.py
@@ -1,4 +1,4 @@
-"""The table as a CSV sheet."""
+"""Export and import of the table as CSV."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(text=st.text())
-    def test_any_text_is_read_or_refused(self, text):
+    def test_any_text_is_parsed_or_refused(self, text):
         read_sheet(text)
 
     @pytest.mark.parametrize(
@@ -58,10 +58,10 @@
             ("a,1,64,100,10,,,\na,1,64,100,10,,,", "a stands twice"),
         ],
     )
-    def test_a_bad_line_is_named(self, line, expected):
+    def test_invalid_line_is_named(self, line, expected):
         failures = read_sheet(",".join(COLUMNS) + "\n" + line + "\n").unwrap_err()
         assert expected in "\n".join(map(str, failures))
 
-    def test_every_bad_line_is_reported(self):
+    def test_every_invalid_line_is_reported(self):
         text = ",".join(COLUMNS) + "\na,x,1,1,1,,,\nb,y,1,1,1,,,\n"
         assert len(read_sheet(text).unwrap_err()) == 2
--- a/tests/state/test_stalled_replicas.py
+++ b/tests/state/test_stalled_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that were held up: no lead is lost for it, and none is kept too long."""
+"""Stalls of the event loop: a leader is neither lost because of one nor kept too long."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.support import ReplicaGroup, eventually
 
 ELECTION_TIMEOUT_MS = 500
-HOLD_S = 1.5  # three times that
+STALL_S = 1.5  # three election timeouts
 
 
 async def led_group(folder) -> tuple[ReplicaGroup, object]:
@@ -30,14 +30,14 @@
 
 
 @pytest.mark.parametrize("loop_name", LOOPS)
-class TestHeldUpReplicas:
-    # Guards against: replicas of a machine that stood still elect a leader, though theirs lives.
-    def test_keep_their_leader(self, tmp_path, loop_name):
+class TestStalledReplicas:
+    # Guards against: replicas elect a new leader after a stall though theirs lives.
+    def test_replicas_keep_their_leader(self, tmp_path, loop_name):
         async def work() -> None:
             group, leader = await led_group(tmp_path)
             term = leader.replica.term
             for _ in range(3):
-                await hold_up(HOLD_S)
+                await hold_up(STALL_S)
                 await eventually(leader.replica.ready, "the lease to be renewed")
             terms = {node.replica.term for node in group.nodes.values()}
             await group.stop_all()
@@ -45,23 +45,23 @@
 
         run_on(loop_name, work)
 
-    # Guards against: a lead is believed in for time in which nobody could renew it.
-    def test_believe_in_no_lease_right_after_it(self, tmp_path, loop_name):
+    # Guards against: a leader lease counts as valid for a stall in which it could not be renewed.
+    def test_lease_is_invalid_right_after_a_stall(self, tmp_path, loop_name):
         async def work() -> None:
             group, leader = await led_group(tmp_path)
 
-            def stand_still() -> bool:
-                time.sleep(HOLD_S)
+            def stall() -> bool:
+                time.sleep(STALL_S)
                 return leader.replica.ready()
 
-            ready = stand_still()
+            ready = stall()
             await group.stop_all()
             assert not ready
 
         run_on(loop_name, work)
 
-    # Guards against: a voter is replaced as gone for time in which we could not hear it.
-    def test_take_no_voter_for_gone(self, tmp_path, loop_name):
+    # Guards against: a voter counts as lost because its answers could not be read during a stall.
+    def test_no_voter_counts_as_lost_after_a_stall(self, tmp_path, loop_name):
         async def work() -> None:
             group, leader = await led_group(tmp_path)
             others = [vm for vm in group.nodes if vm != leader.vm]
@@ -72,10 +72,10 @@
 
         run_on(loop_name, work)
 
-    def test_elect_another_leader_where_theirs_is_lost(self, tmp_path, loop_name):
+    def test_another_leader_is_elected_if_theirs_is_lost(self, tmp_path, loop_name):
         async def work() -> None:
             group, leader = await led_group(tmp_path)
-            await hold_up(HOLD_S)
+            await hold_up(STALL_S)
             await group.stop(leader.vm)
             other = await group.wait_leader(other_than=leader.vm)
             await group.stop_all()
@@ -83,13 +83,13 @@
 
         run_on(loop_name, work)
 
-    # Guards against: a vote counts although it was given before a hold.
-    def test_step_down_where_their_majority_is_gone(self, tmp_path, loop_name):
+    # Guards against: an acknowledgement from before a stall still counts after it.
+    def test_leader_steps_down_if_its_majority_is_lost(self, tmp_path, loop_name):
         async def work() -> None:
             group, leader = await led_group(tmp_path)
             for vm in [vm for vm in group.nodes if vm != leader.vm]:
                 await group.stop(vm)
-            await hold_up(HOLD_S)
+            await hold_up(STALL_S)
             assert not leader.replica.ready()
             await eventually(
                 lambda: leader.replica.role is not ReplicaRole.LEADER, "the leader to step down"
@@ -99,9 +99,9 @@
         run_on(loop_name, work)
 
 
-class TestHeldUpFollower:
-    # Guards against: a replica asks for votes though heartbeats of its leader lie in its socket.
-    async def test_asks_for_no_vote(self, tmp_path):
+class TestStalledFollower:
+    # Guards against: a replica campaigns though heartbeats of its leader wait in its socket.
+    async def test_follower_requests_no_vote(self, tmp_path):
         group, leader = await led_group(tmp_path)
         asked: list[str] = []
         for node in group.nodes.values():
@@ -112,20 +112,20 @@
 
             node.handlers._calls[VoteRequest] = refuse
         for _ in range(5):
-            await hold_up(HOLD_S)
+            await hold_up(STALL_S)
             await eventually(leader.replica.ready, "the lease to be renewed")
         await group.stop_all()
         assert asked == []
 
 
 class TestDiskThread:
-    # Guards against: a disk counts as hanging for time in which its answer was not taken.
-    async def test_is_not_busy_for_a_hold(self):
+    # Guards against: a disk counts as hanging because its result could not be taken in a stall.
+    async def test_stall_does_not_count_as_busy_time(self):
         disk = DiskThread()
         active_time.clock()
         work = asyncio.create_task(disk.run(lambda: time.sleep(0.01)))
         await asyncio.sleep(0)
-        time.sleep(HOLD_S)
+        time.sleep(STALL_S)
         busy_s = disk.busy_s
         await work
         disk.close()
--- a/tests/state/test_transition_queue.py
+++ b/tests/state/test_transition_queue.py
@@ -1,4 +1,4 @@
-"""A step that a replica has begun ends, whoever asked for it."""
+"""A transition that has started completes even if its caller is cancelled."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 NEXT = (*FIRST, Voter(replica="b", address="127.0.0.1:2", failure_domain="d"))
 
 
-class TestWholeSteps:
-    async def test_end_though_their_caller_is_cancelled_and_cancelled_again(self):
-        steps, gate, done = TransitionQueue(), asyncio.Event(), []
+class TestTransitionQueue:
+    async def test_transition_completes_though_its_caller_is_cancelled_twice(self):
+        queue, gate, done = TransitionQueue(), asyncio.Event(), []
 
-        async def step():
+        async def transition():
             await gate.wait()
             done.append("first")
 
-        async def next_step():
+        async def next_transition():
             done.append("second")
 
-        caller = asyncio.ensure_future(steps.run(step))
+        caller = asyncio.ensure_future(queue.run(transition))
         await asyncio.sleep(0)
         for _ in range(2):
             caller.cancel()
             await asyncio.sleep(0)
-        after = asyncio.ensure_future(steps.run(next_step))
+        after = asyncio.ensure_future(queue.run(next_transition))
         await asyncio.sleep(0)
         assert done == []
         gate.set()
@@ -47,41 +47,41 @@
         assert done == ["first", "second"]
         assert caller.cancelled()
 
-    async def test_of_a_caller_that_left_before_never_begin(self):
-        steps, gate, done = TransitionQueue(), asyncio.Event(), []
+    async def test_transition_of_a_caller_cancelled_before_its_turn_never_starts(self):
+        queue, gate, done = TransitionQueue(), asyncio.Event(), []
 
-        async def step():
+        async def transition():
             done.append("left")
 
-        running = asyncio.ensure_future(steps.run(gate.wait))
+        running = asyncio.ensure_future(queue.run(gate.wait))
         await asyncio.sleep(0)
-        waiting = asyncio.ensure_future(steps.run(step))
+        waiting = asyncio.ensure_future(queue.run(transition))
         await asyncio.sleep(0)
         waiting.cancel()
         gate.set()
         await running
-        await steps.wait_idle()
+        await queue.wait_idle()
         assert done == []
 
-    async def test_that_fail_let_the_next_begin(self):
-        steps = TransitionQueue()
+    async def test_next_transition_runs_after_one_that_failed(self):
+        queue = TransitionQueue()
 
         async def failing():
             raise OSError
 
-        async def step():
+        async def transition():
             return 7
 
         with pytest.raises(OSError):
-            await steps.run(failing)
-        assert await steps.run(step) == 7
+            await queue.run(failing)
+        assert await queue.run(transition) == 7
 
-    async def test_are_waited_for_where_a_replica_stops(self):
-        steps, gate = TransitionQueue(), asyncio.Event()
-        caller = asyncio.ensure_future(steps.run(gate.wait))
+    async def test_wait_idle_waits_for_a_running_transition(self):
+        queue, gate = TransitionQueue(), asyncio.Event()
+        caller = asyncio.ensure_future(queue.run(gate.wait))
         await asyncio.sleep(0)
         caller.cancel()
-        idle = asyncio.ensure_future(steps.wait_idle())
+        idle = asyncio.ensure_future(queue.wait_idle())
         await asyncio.sleep(0.01)
         assert not idle.done()
         gate.set()
@@ -106,26 +106,26 @@
     store.close()
 
 
-class TestAFollowerWhoseConnectionEnds:
-    async def test_while_it_writes_entries_notes_their_voters(self, state):
+class TestFollowerWithLostConnection:
+    async def test_append_adopts_the_voter_set_of_its_entries(self, state):
         following = FollowerHandlers(state=state, leadership=Leadership(state=state))
         entry = LogEntry(1, 1, encode(ChangeVoters(voters=NEXT)))
         request = AppendRequest(1, "a", 0, 0, [entry], 0, "b")
-        await _cancel_while_the_disk_writes(state, following._on_append(request, None))
+        await _cancel_during_disk_write(state, following._on_append(request, None))
         assert state.store.last_index == 1
         assert state.voters.current.voters == NEXT
 
-    async def test_while_it_saves_a_snapshot_takes_all_of_it(self, state):
+    async def test_snapshot_is_installed_completely(self, state):
         following = FollowerHandlers(state=state, leadership=Leadership(state=state))
         data = state.machine.snapshot()
         request = SnapshotRequest(1, "a", 9, 1, data, encode_voters(NEXT), "b")
-        await _cancel_while_the_disk_writes(state, following._on_snapshot(request, None))
+        await _cancel_during_disk_write(state, following._on_snapshot(request, None))
         assert state.store.snapshot.last_index == 9
         assert (state.applied_index, state.commit_index) == (9, 9)
         assert state.voters.current.voters == NEXT
 
 
-async def _cancel_while_the_disk_writes(state, handler) -> None:
+async def _cancel_during_disk_write(state, handler) -> None:
     serving = asyncio.ensure_future(handler)
     while not state.disk.busy_s:
         await asyncio.sleep(0)
--- a/tests/state/test_voters.py
+++ b/tests/state/test_voters.py
@@ -1,4 +1,4 @@
-"""The voter sets of a log, and which one should follow."""
+"""The voter sets of a log and the choice of the next one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     encode_voters,
 )
 
-GONE_S = 1.5
+LOST_S = 1.5
 
 
 def voter(name: str, *, address: str = "", domain: str = "") -> Voter:
@@ -32,41 +32,41 @@
     return [found.replica for found in voters]
 
 
-class TestVoterBook:
-    def test_takes_the_newest_set_of_the_log(self):
-        book = VoterHistory(initial=[voter("a")])
-        assert book.record_entries([Entry(1, 1, encode(TermStart())), change(2, "a", "b")])
-        assert names(book.current.voters) == ["a", "b"]
-        assert book.current.index == 2
-
-    def test_goes_back_when_the_entry_is_cut_off(self):
-        book = VoterHistory(initial=[voter("a")])
-        book.record_entries([change(2, "a", "b"), change(5, "a", "b", "c")])
-        assert book.revert_from(5)
-        assert names(book.current.voters) == ["a", "b"]
-        assert book.revert_from(1)
-        assert names(book.current.voters) == ["a"]
-
-    def test_ignores_other_commands(self):
-        book = VoterHistory(initial=[voter("a")])
-        assert not book.record_entries([Entry(1, 1, encode(TermStart()))])
-
-    def test_gives_the_set_at_an_entry(self):
-        book = VoterHistory(initial=[voter("a")])
-        book.record_entries([change(2, "a", "b"), change(5, "b")])
-        assert names(book.at(4).voters) == ["a", "b"]
-        book.compact_before(4)
-        assert names(book.at(4).voters) == ["a", "b"]
-        assert names(book.current.voters) == ["b"]
-
-    def test_survives_a_snapshot(self):
+class TestVoterHistory:
+    def test_current_set_is_the_newest_of_the_log(self):
+        history = VoterHistory(initial=[voter("a")])
+        assert history.record_entries([Entry(1, 1, encode(TermStart())), change(2, "a", "b")])
+        assert names(history.current.voters) == ["a", "b"]
+        assert history.current.index == 2
+
+    def test_former_set_is_in_force_after_its_entry_is_cut_off(self):
+        history = VoterHistory(initial=[voter("a")])
+        history.record_entries([change(2, "a", "b"), change(5, "a", "b", "c")])
+        assert history.revert_from(5)
+        assert names(history.current.voters) == ["a", "b"]
+        assert history.revert_from(1)
+        assert names(history.current.voters) == ["a"]
+
+    def test_other_commands_do_not_change_the_set(self):
+        history = VoterHistory(initial=[voter("a")])
+        assert not history.record_entries([Entry(1, 1, encode(TermStart()))])
+
+    def test_set_at_an_index_is_found(self):
+        history = VoterHistory(initial=[voter("a")])
+        history.record_entries([change(2, "a", "b"), change(5, "b")])
+        assert names(history.at(4).voters) == ["a", "b"]
+        history.compact_before(4)
+        assert names(history.at(4).voters) == ["a", "b"]
+        assert names(history.current.voters) == ["b"]
+
+    def test_set_is_restored_from_a_snapshot(self):
         saved = encode_voters([voter("a"), voter("b")])
-        book = VoterHistory(initial=[])
-        book.reset(index=9, voters=decode_voters(saved))
-        assert names(book.current.voters) == ["a", "b"]
+        history = VoterHistory(initial=[])
+        history.reset(index=9, voters=decode_voters(saved))
+        assert names(history.current.voters) == ["a", "b"]
 
 
-def standing(
+def health(
     name: str,
     *,
     caught_up: bool = True,
@@ -78,63 +78,63 @@
     return ReplicaHealth(peer=peer, caught_up=caught_up, silence_s=silence_s)
 
 
-def choose(current, standings, wanted: int = 3):
+def choose(current, replicas, wanted: int = 3):
     found = choose_voters(
         VoterSet(index=1, voters=[voter(name) for name in current]),
-        standings,
+        replicas,
         voter_count=wanted,
-        lost_after_s=GONE_S,
+        lost_after_s=LOST_S,
     )
     return None if found is None else names(found)
 
 
-class TestNextVoters:
-    def test_nothing_changes_while_all_are_there(self):
-        assert choose("abc", [standing("b"), standing("c")]) is None
+class TestChooseVoters:
+    def test_no_change_while_all_voters_answer(self):
+        assert choose("abc", [health("b"), health("c")]) is None
 
-    def test_a_silent_voter_stays_without_a_replacement(self):
-        assert choose("abc", [standing("b"), standing("c", silence_s=9)]) is None
+    def test_silent_voter_stays_without_a_replacement(self):
+        assert choose("abc", [health("b"), health("c", silence_s=9)]) is None
 
-    def test_a_lost_disk_is_exchanged_at_once(self):
-        learner = standing("new", address="at-c")
-        assert choose("abc", [standing("b"), standing("c"), learner]) == ["a", "b", "new"]
+    def test_voter_with_a_lost_disk_is_replaced_in_one_change(self):
+        learner = health("new", address="at-c")
+        assert choose("abc", [health("b"), health("c"), learner]) == ["a", "b", "new"]
 
-    def test_a_learner_that_has_not_caught_up_waits(self):
-        learner = standing("new", address="at-c", caught_up=False)
-        assert choose("abc", [standing("b"), standing("c", silence_s=9), learner]) is None
+    def test_learner_that_has_not_caught_up_is_not_added(self):
+        learner = health("new", address="at-c", caught_up=False)
+        assert choose("abc", [health("b"), health("c", silence_s=9), learner]) is None
 
-    def test_a_replacement_elsewhere_is_added_before_the_silent_one_goes(self):
-        silent = standing("c", silence_s=9)
-        assert choose("abc", [standing("b"), silent, standing("d")]) == ["a", "b", "c", "d"]
-        assert choose("abcd", [standing("b"), silent, standing("d")]) == ["a", "b", "d"]
+    def test_replacement_at_another_address_is_added_before_the_silent_voter_is_removed(self):
+        silent = health("c", silence_s=9)
+        assert choose("abc", [health("b"), silent, health("d")]) == ["a", "b", "c", "d"]
+        assert choose("abcd", [health("b"), silent, health("d")]) == ["a", "b", "d"]
 
-    def test_a_spare_replica_waits_while_all_voters_are_there(self):
-        assert choose("abc", [standing("b"), standing("c"), standing("d")]) is None
+    def test_spare_replica_is_not_added_while_all_voters_answer(self):
+        assert choose("abc", [health("b"), health("c"), health("d")]) is None
 
-    def test_too_few_voters_are_filled_up(self):
-        assert choose("abc", [standing("b"), standing("c"), standing("d")], wanted=5) == [
+    def test_learners_are_added_while_there_are_too_few_voters(self):
+        assert choose("abc", [health("b"), health("c"), health("d")], wanted=5) == [
             "a",
             "b",
             "c",
             "d",
         ]
 
-    def test_of_two_spare_replicas_the_one_in_the_emptier_domain_is_taken(self):
-        standings = [
-            standing("b"),
-            standing("c", silence_s=9),
-            standing("x", domain="b"),
-            standing("y", domain="c"),
+    def test_learner_in_the_failure_domain_with_fewer_voters_is_preferred(self):
+        replicas = [
+            health("b"),
+            health("c", silence_s=9),
+            health("x", domain="b"),
+            health("y", domain="c"),
         ]
-        assert choose("abc", standings) == ["a", "b", "c", "y"]
+        assert choose("abc", replicas) == ["a", "b", "c", "y"]
 
-    @pytest.mark.parametrize("silence_s", [GONE_S, 60.0])
-    def test_a_silent_learner_is_not_taken(self, silence_s):
-        learner = standing("new", silence_s=silence_s)
-        assert choose("abc", [standing("b"), standing("c", silence_s=9), learner]) is None
+    @pytest.mark.parametrize("silence_s", [LOST_S, 60.0])
+    def test_silent_learner_is_not_added(self, silence_s):
+        learner = health("new", silence_s=silence_s)
+        assert choose("abc", [health("b"), health("c", silence_s=9), learner]) is None
 
-    def test_each_change_shares_a_majority_with_the_one_before(self):
-        """But for a disk that is gone, old and new majorities always have a replica in common."""
+    def test_successive_sets_differ_by_one_voter(self):
+        """Majorities of successive sets share a replica, except where a lost disk is replaced."""
         current = ["a", "b", "c"]
-        following = choose(current, [standing("b"), standing("c", silence_s=9), standing("d")])
+        following = choose(current, [health("b"), health("c", silence_s=9), health("d")])
         assert len(set(current) ^ set(following)) == 1
