--- a/src/leadhollow/bench/request_path.py
+++ b/src/leadhollow/bench/request_path.py
@@ -25,12 +25,12 @@
 from leadhollow.experiment.patterns import ENGINE
 from leadhollow.experiment.view import OneVersion, View
 from leadhollow.failure import Failure
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.dialect import AnswerFacts
+from leadhollow.forward.dialect import ResponseMetadata
 from leadhollow.forward.events import EventSplitter
 from leadhollow.forward.fingerprint import fingerprint_of
 from leadhollow.forward.request_body import RequestBody
 from leadhollow.forward.self_reports import SelfReports
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.http1.body import IncomingBody
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import RequestHead
@@ -212,13 +212,13 @@
 def _answer_us() -> float:
     clock = asyncio.get_running_loop().time
     reports = SelfReports(
-        board=ServerBoard(table=InstanceTable(forget_after_s=1.0), clock=clock),
+        directory=ServerDirectory(table=InstanceTable(forget_after_s=1.0), clock=clock),
         feed=_NoFeed(),
         peers=PeerPool(vm="bench", failure_domain="d", token="", handlers=HandlerTable()),
         seed=1,
     )
-    facts = AnswerFacts(attempt_id="a", signed=True, not_executed=False)
-    return _median_us(partial(reports.note_answer, _server(0), facts, sent_s=None, call=None))
+    facts = ResponseMetadata(attempt_id="a", signed=True, not_executed=False)
+    return _median_us(partial(reports.record_response, _server(0), facts, sent_s=None, call=None))
 
 
 def _take_told(servers: list[Server]) -> None:
--- a/src/leadhollow/experiment/crashes.py
+++ b/src/leadhollow/experiment/crashes.py
@@ -17,7 +17,7 @@
 from leadhollow.decide.server_ends import ServerEnd
 from leadhollow.decide.suspects import SuspectTable
 from leadhollow.experiment.clock import Clock
-from leadhollow.forward.good_ends import GoodEnds
+from leadhollow.forward.recent_successes import RecentSuccesses
 
 DOMAINS = 5
 ENTRIES = 98
@@ -146,7 +146,7 @@
         self._random = random.Random(seed)
         self._clock = Clock()
         self._engines = [_Engine(place % DOMAINS) for place in range(ENGINES)]
-        self._good = [GoodEnds() for _ in range(ENTRIES)]
+        self._good = [RecentSuccesses() for _ in range(ENTRIES)]
         self._table = SuspectTable(clock=lambda: self._clock.now_s)
         self._counts: dict[bytes, int] = {}
         self._held: dict[bytes, float] = {}  # request, and from when entries know
@@ -231,7 +231,7 @@
             self._end(engine, attempt)
             return
         del engine.running[attempt]
-        self._good[attempt.entry].note(attempt.name, self._clock.now_s)
+        self._good[attempt.entry].add(attempt.name, self._clock.now_s)
         if self._table.suspected_lives(attempt.name):
             self._later(WAY_S, lambda: self._clear(attempt.name))
 
@@ -277,7 +277,7 @@
         if self._memory is Memory.COUNT:
             self._later(FOUND_S, lambda: self._count(names))
         elif self._memory is Memory.SUSPECTS:
-            ran = {name for name in names if not self._good[entry].knows(name, now_s)}
+            ran = {name for name in names if not self._good[entry].contains(name, now_s)}
             end = ServerEnd(life=life, ran=ran, happened_s=now_s)
             self._later(FOUND_S, lambda: self._later(WAY_S, lambda: self._take(end)))
 
@@ -290,7 +290,7 @@
     def _take(self, end: ServerEnd) -> None:
         if self._table.merge_end(end):
             for name in end.ran:
-                if any(good.knows(name, self._clock.now_s) for good in self._good):
+                if any(good.contains(name, self._clock.now_s) for good in self._good):
                     self._later(WAY_S, lambda name=name: self._clear(name))  # type: ignore[misc]
             self._clock.after_ms((SETTLE_S + 0.005) * 1000, self._judge)
 
--- a/src/leadhollow/forward/plain_answer.py
+++ b/src/leadhollow/forward/buffered_response.py
@@ -14,33 +14,33 @@
 HELD_BYTES = 256 * 1024  # answers up to it are taken whole
 
 
-class WholeAnswer:
+class BufferedResponse:
     """An answer taken whole, or its beginning where it is long."""
 
-    __slots__ = ("data", "exchange", "whole")
+    __slots__ = ("data", "exchange", "complete")
 
-    def __init__(self, *, exchange: Exchange, data: bytes, whole: bool) -> None:
+    def __init__(self, *, exchange: Exchange, data: bytes, complete: bool) -> None:
         self.exchange = exchange
         self.data = data
-        self.whole = whole
+        self.complete = complete
 
     @property
     def head(self) -> ResponseHead:
         """Head of the answer."""
-        return self.exchange.answer.head
+        return self.exchange.response.head
 
     @property
-    def good(self) -> bool:
+    def successful(self) -> bool:
         """Whether it is a success that bears the server's signature."""
-        return self.head.status < HTTPStatus.BAD_REQUEST and self.exchange.facts.signed
+        return self.head.status < HTTPStatus.BAD_REQUEST and self.exchange.metadata.signed
 
     @property
-    def own_failure(self) -> bool:
+    def server_error(self) -> bool:
         """Whether the server says that it failed at the request itself."""
         return self.head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
 
 
-async def take_whole(exchange: Exchange) -> Result[WholeAnswer, Failure]:
+async def buffer_response(exchange: Exchange) -> Result[BufferedResponse, Failure]:
     """Take an answer whole, or its beginning where it is long.
 
     Errors
@@ -56,23 +56,23 @@
             return Err(read.unwrap_err())
         data = read.unwrap()
         if not data:
-            return Ok(WholeAnswer(exchange=exchange, data=b"".join(parts), whole=True))
+            return Ok(BufferedResponse(exchange=exchange, data=b"".join(parts), complete=True))
         parts.append(data)
         size += len(data)
-    return Ok(WholeAnswer(exchange=exchange, data=b"".join(parts), whole=False))
+    return Ok(BufferedResponse(exchange=exchange, data=b"".join(parts), complete=False))
 
 
-async def first_good(
-    tasks: set[asyncio.Task[Result[WholeAnswer, AttemptFailure]]],
-) -> Result[WholeAnswer, AttemptFailure]:
+async def first_successful(
+    tasks: set[asyncio.Task[Result[BufferedResponse, AttemptFailure]]],
+) -> Result[BufferedResponse, AttemptFailure]:
     """Wait for the first good answer, else for the last of the others."""
     pending = set(tasks)
-    ended: Result[WholeAnswer, AttemptFailure] | None = None
+    ended: Result[BufferedResponse, AttemptFailure] | None = None
     while pending:
         done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
             ended = task.result()
-            if ended.is_ok() and ended.unwrap().good:
+            if ended.is_ok() and ended.unwrap().successful:
                 return ended
     assert ended is not None
     return ended
--- a/src/leadhollow/forward/call.py
+++ b/src/leadhollow/forward/call.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from leadhollow.forward.dialect import CallFacts, Dispatch
+from leadhollow.forward.dialect import DispatchMetadata, RequestMetadata
 from leadhollow.forward.request_body import RequestBody
 from leadhollow.http1.messages import RequestHead
 from leadhollow.http1.reply import ReplyWriter
@@ -38,12 +38,12 @@
         "attempts",
         "body",
         "deadline_s",
-        "engine",
-        "facts",
+        "last_instance",
+        "metadata",
         "fingerprint",
         "head",
-        "held_before_s",
-        "last_heard_at_s",
+        "stalled_before_s",
+        "last_contact_s",
         "organisation",
         "received_s",
         "reply",
@@ -58,7 +58,7 @@
         *,
         head: RequestHead,
         body: RequestBody,
-        facts: CallFacts,
+        metadata: RequestMetadata,
         route: Route,
         service: str,
         organisation: Organisation | None,
@@ -69,7 +69,7 @@
         self.fingerprint = fingerprint
         self.head = head
         self.body = body
-        self.facts = facts
+        self.metadata = metadata
         self.route = route
         self.service = service
         self.organisation = organisation
@@ -77,18 +77,18 @@
         self.received_s = received_s
         self.suspended_s = clocks.suspended_s()
         self.deadline_s = received_s + route.timeout_ms / 1000
-        if facts.deadline_ms is not None:
-            self.deadline_s = min(self.deadline_s, received_s + facts.deadline_ms / 1000)
+        if metadata.deadline_ms is not None:
+            self.deadline_s = min(self.deadline_s, received_s + metadata.deadline_ms / 1000)
         self.attempts = 0
         self.sends = 0
-        self.engine = ""
-        self.last_heard_at_s = received_s
-        self.held_before_s = active_time.clock().stalled_s()
+        self.last_instance = ""
+        self.last_contact_s = received_s
+        self.stalled_before_s = active_time.clock().stalled_s()
 
     @property
     def request_id(self) -> str:
         """The caller's name of this attempt."""
-        return self.facts.attempt_id
+        return self.metadata.attempt_id
 
     @property
     def timeout_s(self) -> float:
@@ -107,20 +107,20 @@
             return self.organisation.priority
         return self.route.priority
 
-    def note_asked(self, instance: str) -> None:
+    def record_dispatch(self, instance: str) -> None:
         """Note that a backend server is sent the request now."""
-        self.engine = instance
-        self.last_heard_at_s = clocks.steady_s()
+        self.last_instance = instance
+        self.last_contact_s = clocks.steady_s()
 
     def silent_s(self) -> float:
         """Give the time since the backend server was asked or last heard from."""
-        return clocks.steady_s() - self.last_heard_at_s
+        return clocks.steady_s() - self.last_contact_s
 
-    def held_s(self) -> float:
+    def stalled_s(self) -> float:
         """Give the time for which this process was held up since the request came."""
-        return active_time.clock().stalled_s() - self.held_before_s
+        return active_time.clock().stalled_s() - self.stalled_before_s
 
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """Give what is left of the caller's time, which went on while this machine did not."""
         suspended_s = clocks.suspended_s() - self.suspended_s
         return (self.deadline_s - clocks.steady_s() - suspended_s) * 1000
@@ -132,10 +132,10 @@
         version: int | None = None,
         last_event_id: int | None = None,
         urgency: int | None = None,
-    ) -> Dispatch:
+    ) -> DispatchMetadata:
         """Make what a backend server is told beside the request."""
-        return Dispatch(
-            deadline_ms=max(1.0, self.left_ms()),
+        return DispatchMetadata(
+            deadline_ms=max(1.0, self.remaining_ms()),
             instance=instance,
             organisation=None if self.organisation is None else self.organisation.name,
             version=version,
--- a/src/leadhollow/forward/service.py
+++ b/src/leadhollow/forward/caller_listener.py
@@ -12,13 +12,13 @@
 from leadhollow.decide.retry_after import RefusalReason
 from leadhollow.failure import Failure
 from leadhollow.forward.call import ForwardedCall
-from leadhollow.forward.dialect import CallDialect, CallFacts
-from leadhollow.forward.ending import Ending
+from leadhollow.forward.dialect import CallDialect, RequestMetadata
+from leadhollow.forward.failure_response import FailureResponder
 from leadhollow.forward.fingerprint import fingerprint_of
-from leadhollow.forward.plain_call import PlainForwarder
+from leadhollow.forward.plain_forwarder import PlainForwarder
 from leadhollow.forward.request_body import RequestBody
-from leadhollow.forward.stream_call import StreamForwarder
-from leadhollow.forward.suspect_exchange import SuspectExchange
+from leadhollow.forward.stream_forwarder import StreamForwarder
+from leadhollow.forward.suspect_sync import SuspectSync
 from leadhollow.forward.targets import TargetChooser
 from leadhollow.http1.reply import ReplyWriter
 from leadhollow.http1.server import HttpServer
@@ -73,8 +73,8 @@
         chooser: TargetChooser,
         plain: PlainForwarder,
         streams: StreamForwarder,
-        suspects: SuspectExchange,
-        ending: Ending,
+        suspects: SuspectSync,
+        responder: FailureResponder,
         stop_grace_s: float,
         seed: int,
     ) -> None:
@@ -84,7 +84,7 @@
         self._plain = plain
         self._streams = streams
         self._suspects = suspects
-        self._ending = ending
+        self._ending = responder
         self._stop_grace_s = stop_grace_s
         self._random = random.Random(seed)
         self._server = HttpServer(address=address, handler=self._handle, limits=self._limits)
@@ -145,7 +145,7 @@
             raise
 
     async def _forward(self, call: ForwardedCall) -> None:
-        if self._suspects.quarantine.holds(call):
+        if self._suspects.quarantine.is_quarantined(call):
             await self._ending.quarantined(call)
             return
         service = self._routes.services.get(call.service)
@@ -158,7 +158,7 @@
         self, request: IncomingRequest, reply: ReplyWriter
     ) -> Result[ForwardedCall, Failure]:
         """Find out what is asked, by whom, and whether the route table allows it."""
-        read = self._dialect.read_call(request.head)
+        read = self._dialect.parse_request(request.head)
         if read.is_err():
             return Err(read.unwrap_err())
         facts = read.unwrap()
@@ -183,7 +183,7 @@
         call = ForwardedCall(
             head=request.head,
             body=body,
-            facts=facts,
+            metadata=facts,
             route=route,
             service=self._chooser.choose(route),
             organisation=organisation,
@@ -195,10 +195,12 @@
                 organisation="" if organisation is None else organisation.name,
             ),
         )
-        self._chooser.note_request(call.service)
+        self._chooser.record_request(call.service)
         return Ok(call)
 
-    def _organisation(self, route: Route, facts: CallFacts) -> Result[Organisation | None, Failure]:
+    def _organisation(
+        self, route: Route, facts: RequestMetadata
+    ) -> Result[Organisation | None, Failure]:
         if route.public or not self._routes.keyed:
             return Ok(None)
         organisation = self._routes.organisation(facts.key) if facts.key else None
@@ -219,7 +221,7 @@
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
             refusal = RefusalReason.STOPPING if self._closed else RefusalReason.NOT_READY
             retry_after_s = refusal.retry_after_s(self._random)
-        headers = self._dialect.refusal(failure, retry_after_s)
+        headers = self._dialect.error_headers(failure, retry_after_s)
         body = f"{int(failure.code)} {failure.code.title}\n".encode()
         await reply.send(status, headers, body)
 
--- a/src/leadhollow/forward/dialect.py
+++ b/src/leadhollow/forward/dialect.py
@@ -11,7 +11,7 @@
 from leadhollow.http1.messages import RequestHead, ResponseHead
 
 
-class CallFacts:
+class RequestMetadata:
     """What a caller says of its request.
 
     Parameters
@@ -70,7 +70,7 @@
         self.last_event_id = last_event_id
 
 
-class Dispatch:
+class DispatchMetadata:
     """What an entry adds to a request for a backend server.
 
     Parameters
@@ -123,7 +123,7 @@
         self.connect_s = 0.0
 
 
-class AnswerFacts:
+class ResponseMetadata:
     """What a backend server says of its answer.
 
     Parameters
@@ -157,7 +157,7 @@
         "limit_malformed",
         "limit_per_s",
         "not_executed",
-        "ours",
+        "internal_fields",
         "rest_malformed",
         "rest_s",
         "signed",
@@ -177,7 +177,7 @@
         rest_malformed: bool = False,
         ours: frozenset[bytes] = frozenset(),
     ) -> None:
-        self.ours = ours
+        self.internal_fields = ours
         self.attempt_id = attempt_id
         self.instance = instance
         self.leaving = leaving
@@ -192,7 +192,7 @@
 class CallDialect(Protocol):
     """How requests and answers look on the wire."""
 
-    def read_call(self, head: RequestHead) -> Result[CallFacts, Failure]:
+    def parse_request(self, head: RequestHead) -> Result[RequestMetadata, Failure]:
         """Decode what a caller says.
 
         Errors
@@ -202,15 +202,15 @@
         """
         ...
 
-    def dispatched(self, head: RequestHead, dispatch: Dispatch) -> Headers:
+    def dispatch_headers(self, head: RequestHead, dispatch: DispatchMetadata) -> Headers:
         """Give the fields that a backend server gets, without those that frame the body."""
         ...
 
-    def read_answer(self, head: ResponseHead) -> AnswerFacts:
+    def parse_response(self, head: ResponseHead) -> ResponseMetadata:
         """Decode what a backend server says."""
         ...
 
-    def refusal(self, failure: Failure, retry_after_s: float | None) -> Headers:
+    def error_headers(self, failure: Failure, retry_after_s: float | None) -> Headers:
         """Give the fields of an answer of our own."""
         ...
 
--- a/src/leadhollow/forward/places.py
+++ b/src/leadhollow/forward/engine_placement.py
@@ -13,7 +13,7 @@
 from leadhollow.kernel.active_time import deadline_at
 
 
-async def place(queue: EngineQueue, wish: EngineRequest) -> Result[Placement, Failure]:
+async def wait_for_placement(queue: EngineQueue, wish: EngineRequest) -> Result[Placement, Failure]:
     """Find a place for a request, or refuse it in time.
 
     Errors
@@ -44,4 +44,4 @@
         queue.on_deadline(waiter)  # it may have ended in the same turn of the loop
 
 
-__all__ = ["place"]
+__all__ = ["wait_for_placement"]
--- a/src/leadhollow/forward/stream_wish.py
+++ b/src/leadhollow/forward/engine_request_factory.py
@@ -18,7 +18,7 @@
 LAST_RESUME_S = 0.2  # before that, an engine could hardly bring the next event in time
 
 
-def stream_wish(
+def make_engine_request(
     call: ForwardedCall,
     service: ServiceRecord,
     *,
@@ -57,8 +57,8 @@
         hold_s = max(decide_s, caller_leaves_s - LAST_RESUME_S)
     return EngineRequest(
         service=service,
-        model=call.facts.model,
-        prompt_tokens=call.facts.prompt_tokens,
+        model=call.metadata.model,
+        prompt_tokens=call.metadata.prompt_tokens,
         output_tokens=_expected_output(call),
         objective_s=objective_s,
         on_time_until_s=call.objective_s if last_event_s is None else now_s + objective_s,
@@ -84,9 +84,9 @@
 
 
 def _expected_output(call: ForwardedCall) -> float:
-    if call.facts.output_hint_tokens is not None:
-        return min(call.facts.output_hint_tokens, float(call.facts.output_tokens))
-    return float(call.facts.output_tokens)
+    if call.metadata.output_hint_tokens is not None:
+        return min(call.metadata.output_hint_tokens, float(call.metadata.output_tokens))
+    return float(call.metadata.output_tokens)
 
 
 __all__ = ["stream_wish"]
--- a/src/leadhollow/forward/event_source.py
+++ b/src/leadhollow/forward/event_source.py
@@ -25,14 +25,14 @@
         When bytes last came, by the clock of what could be heard.
     """
 
-    __slots__ = ("_clock", "_kept", "_splitter", "exchange", "heard_s")
+    __slots__ = ("_clock", "_kept", "_splitter", "exchange", "last_received_s")
 
     def __init__(self, *, exchange: Exchange) -> None:
         self.exchange = exchange
         self._splitter = EventSplitter()
         self._kept: list[Event] | None = None
         self._clock = active_time.clock()
-        self.heard_s = self._clock.active_s()
+        self.last_received_s = self._clock.active_s()
 
     async def read(self) -> Result[list[Event], Failure]:
         """Give the next events, none at the end of the answer.
@@ -54,19 +54,19 @@
             data = read.unwrap()
             if not data:
                 return self._ended()
-            self.heard_s = self._clock.active_s()
+            self.last_received_s = self._clock.active_s()
             events = self._splitter.feed(data)
             if events:
                 return Ok(events)
-            if self._splitter.held > LARGEST_EVENT_BYTES:
+            if self._splitter.buffered_bytes > LARGEST_EVENT_BYTES:
                 return Err(Failure(code=Code.ENGINE_FAILED, detail="an event is too large"))
 
-    def keep(self, events: list[Event]) -> None:
+    def unread(self, events: list[Event]) -> None:
         """Give these events once more with the next read."""
         self._kept = events
 
     def _ended(self) -> Result[list[Event], Failure]:
-        if self._splitter.rest.strip():
+        if self._splitter.remainder.strip():
             detail = "the stream ends within an event"
             return Err(Failure(code=Code.BACKEND_LOST, detail=detail))
         return Ok([])
--- a/src/leadhollow/forward/events.py
+++ b/src/leadhollow/forward/events.py
@@ -35,12 +35,12 @@
         self._searched = 0  # bytes in which no event ends
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes of an event that is not whole."""
         return bytes(self._buffer)
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """How many these are."""
         return len(self._buffer)
 
--- a/src/leadhollow/forward/exchange.py
+++ b/src/leadhollow/forward/exchange.py
@@ -14,7 +14,7 @@
 from leadhollow.decide.server import Server
 from leadhollow.decide.server_load import OwnCall
 from leadhollow.failure import Failure
-from leadhollow.forward.dialect import AnswerFacts, CallDialect, Dispatch
+from leadhollow.forward.dialect import CallDialect, DispatchMetadata, ResponseMetadata
 from leadhollow.forward.pool import CONNECT_TIMEOUT_S, ConnectionPool
 from leadhollow.forward.request_body import RequestBody
 from leadhollow.http1.client_connection import Answer, ClientConnection
@@ -61,7 +61,7 @@
 class Exchange:
     """An answer that belongs to the request, with the connection it comes on."""
 
-    __slots__ = ("_connection", "_pool", "_sender", "address", "answer", "closed", "facts")
+    __slots__ = ("_connection", "_pool", "_sender", "address", "response", "closed", "metadata")
 
     def __init__(
         self,
@@ -69,13 +69,13 @@
         address: str,
         connection: ClientConnection,
         pool: ConnectionPool,
-        answer: Answer,
-        facts: AnswerFacts,
+        response: Answer,
+        metadata: ResponseMetadata,
         sender: asyncio.Task[Result[None, Failure]] | None,
     ) -> None:
         self.address = address
-        self.answer = answer
-        self.facts = facts
+        self.response = response
+        self.metadata = metadata
         self._connection = connection
         self._pool = pool
         self._sender = sender
@@ -84,11 +84,11 @@
     @property
     def status(self) -> int:
         """Status of the answer."""
-        return self.answer.head.status
+        return self.response.head.status
 
     async def read(self) -> Result[bytes, Failure]:
         """Give the next bytes of the answer's body; ``b""`` at its end."""
-        return await self.answer.body.read()
+        return await self.response.body.read()
 
     def finish(self) -> None:
         """Give the connection back, where request and answer are both whole."""
@@ -96,7 +96,7 @@
             return
         self.closed = True
         sent = self._sender is None or (self._sender.done() and not self._sender.cancelled())
-        if sent and self.answer.body.ended:
+        if sent and self.response.body.ended:
             self._pool.release(self.address, self._connection)
         else:
             self._stop()
@@ -113,13 +113,13 @@
         self._connection.close()
 
 
-class AnswerListener(Protocol):
+class ResponseListener(Protocol):
     """Hears of every answer, whatever its status, what its server says of itself."""
 
-    def note_answer(
+    def record_response(
         self,
         server: Server,
-        facts: AnswerFacts,
+        facts: ResponseMetadata,
         *,
         sent_s: float | None,
         call: OwnCall | None,
@@ -137,7 +137,7 @@
         ...
 
 
-class Exchanger:
+class BackendClient:
     """Makes attempts; all requests to backend servers and all their answers pass here.
 
     Parameters
@@ -146,25 +146,25 @@
         Hear what each answer says of its server, before anybody else reads it.
     """
 
-    __slots__ = ("_dialect", "_listeners", "_pool", "stray_answers")
+    __slots__ = ("_dialect", "_listeners", "_pool", "stray_responses")
 
     def __init__(
-        self, *, dialect: CallDialect, pool: ConnectionPool, listeners: Sequence[AnswerListener]
+        self, *, dialect: CallDialect, pool: ConnectionPool, listeners: Sequence[ResponseListener]
     ) -> None:
         self._dialect = dialect
         self._listeners = listeners
         self._pool = pool
-        self.stray_answers = 0
+        self.stray_responses = 0
 
-    async def begin(
+    async def send(
         self,
         *,
         server: Server,
-        running: OwnCall,
+        own_call: OwnCall,
         head: RequestHead,
         body: RequestBody,
         attempt_id: str,
-        dispatch: Dispatch,
+        dispatch: DispatchMetadata,
         fresh: bool,
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> Result[Exchange, AttemptFailure]:
@@ -180,7 +180,7 @@
             failure = acquired.unwrap_err()
             return Err(AttemptFailure(end=AttemptEnd.NOT_SENT, failure=failure))
         connection = acquired.unwrap()
-        withheld = server.claim_send(running)
+        withheld = server.claim_send(own_call)
         if withheld is not None:
             self._pool.release(address, connection)
             failure = Failure(code=withheld, detail=server.instance.instance)
@@ -190,17 +190,17 @@
         exchange: Exchange | None = None
         sender: asyncio.Task[Result[None, Failure]] | None = None
         try:
-            headers = self._dialect.dispatched(head, dispatch)
+            headers = self._dialect.dispatch_headers(head, dispatch)
             for name, value in body.framing_fields:
                 headers.add(name, value)
             sent_head = RequestHead(method=head.method, target=head.target, headers=headers)
             connection.begin(sent_head.encode(), method=head.method)
-            if body.whole:
+            if body.complete:
                 await body.send(connection)
             else:
                 sender = asyncio.get_running_loop().create_task(body.send(connection))
             found = await self._own_answer(
-                connection, server, attempt_id, sent_s=limited_sent_s, call=running
+                connection, server, attempt_id, sent_s=limited_sent_s, call=own_call
             )
             if found.is_err():
                 failure = found.unwrap_err()
@@ -210,8 +210,8 @@
                 address=address,
                 connection=connection,
                 pool=self._pool,
-                answer=answer,
-                facts=facts,
+                response=answer,
+                metadata=facts,
                 sender=sender,
             )
             return Ok(exchange)
@@ -227,7 +227,7 @@
         silent_s = active_time.active_s() - sent_s
         if connection.exchanges > 1 and connection.usable and silent_s > SILENT_S:
             log.info("idle connections closed", address=address, silent_s=round(silent_s, 2))
-            self._pool.drop(address)
+            self._pool.close_idle(address)
 
     async def _own_answer(
         self,
@@ -237,7 +237,7 @@
         *,
         sent_s: float | None,
         call: OwnCall,
-    ) -> Result[tuple[Answer, AnswerFacts], Failure]:
+    ) -> Result[tuple[Answer, ResponseMetadata], Failure]:
         """Find the answer to a request; those to earlier ones on the connection are skipped.
 
         What these say of the server holds as well.
@@ -247,7 +247,7 @@
             if read.is_err():
                 return Err(read.unwrap_err())
             answer = read.unwrap()
-            facts = self._dialect.read_answer(answer.head)
+            facts = self._dialect.parse_response(answer.head)
             named = facts.attempt_id
             own = named is None or named == attempt_id or not attempt_id
             if own:
@@ -256,7 +256,7 @@
                 self._note(server, answer, facts, sent_s=None, call=None)
             if own:
                 return Ok((answer, facts))
-            self.stray_answers += 1
+            self.stray_responses += 1
             log.warning("answer to another request dropped", named=named, expected=attempt_id)
             if answer.head.framing is Framing.UNTIL_CLOSE:
                 break
@@ -271,7 +271,7 @@
         self,
         server: Server,
         answer: Answer,
-        facts: AnswerFacts,
+        facts: ResponseMetadata,
         *,
         sent_s: float | None,
         call: OwnCall | None,
@@ -280,7 +280,7 @@
         if answer.head.status == HTTPStatus.MISDIRECTED_REQUEST and facts.instance is None:
             return
         for listener in self._listeners:
-            listener.note_answer(server, facts, sent_s=sent_s, call=call)
+            listener.record_response(server, facts, sent_s=sent_s, call=call)
 
 
 async def _skip(answer: Answer) -> Result[None, Failure]:
--- a/src/leadhollow/forward/ending.py
+++ b/src/leadhollow/forward/failure_response.py
@@ -11,7 +11,7 @@
 from leadhollow.forward.call import ForwardedCall
 from leadhollow.forward.dialect import CallDialect
 from leadhollow.forward.end_reason import EndReason
-from leadhollow.forward.fingerprint import shown
+from leadhollow.forward.fingerprint import short_fingerprint
 from leadhollow.observe.logs import get_logger
 
 NOT_RUN_STATUS = HTTPStatus.SERVICE_UNAVAILABLE  # promises that the request has not run
@@ -22,7 +22,7 @@
 log = get_logger("ending")
 
 
-class Ending:
+class FailureResponder:
     """Writes answers of our own; what may have run is never called not run.
 
     Attributes
@@ -91,7 +91,7 @@
         if call.reply.started:
             call.reply.abort()  # an answer has begun: it must not look complete
             return
-        headers = self._dialect.refusal(failure, retry_after_s)
+        headers = self._dialect.error_headers(failure, retry_after_s)
         body = f"{int(failure.code)} {failure.code.title}\n".encode()
         await call.reply.send(status, headers, body)
 
@@ -111,17 +111,17 @@
             request=call.request_id,
             reason=reason.value,
             begun=call.reply.started,
-            fingerprint=shown(call.fingerprint),
+            fingerprint=short_fingerprint(call.fingerprint),
             route=call.route.name,
             status=None if status is None else int(status),
             code=None if failure is None else int(failure.code),
             detail="" if failure is None else failure.detail,
-            instance=call.engine,
+            instance=call.last_instance,
             attempts=call.attempts,
             sends=call.sends,
             after_ms=round(waited_s * 1000),
             silent_ms=round(call.silent_s() * 1000),
-            held_up_ms=round(call.held_s() * 1000),
+            held_up_ms=round(call.stalled_s() * 1000),
             retry_after_s=None if retry_after_s is None else round(retry_after_s, 2),
         )
 
@@ -137,4 +137,4 @@
     return EndReason.ENGINE_ENDED if call.attempts else EndReason.NOT_TAKEN
 
 
-__all__ = ["NOT_RUN_STATUS", "TIMEOUT_STATUS", "UNKNOWN_STATUS", "Ending"]
+__all__ = ["NOT_RUN_STATUS", "TIMEOUT_STATUS", "UNKNOWN_STATUS", "FailureResponder"]
--- a/src/leadhollow/forward/fingerprint.py
+++ b/src/leadhollow/forward/fingerprint.py
@@ -27,13 +27,13 @@
     for part in parts:
         digest.update(b"%d:" % len(part))
         digest.update(part)
-    digest.update(body.kept)
+    digest.update(body.buffered)
     return digest.digest(FINGERPRINT_BYTES)
 
 
-def shown(fingerprint: bytes) -> str:
+def short_fingerprint(fingerprint: bytes) -> str:
     """Give a fingerprint as log lines and commands show it."""
     return fingerprint.hex()[:SHOWN_CHARACTERS]
 
 
-__all__ = ["FINGERPRINT_BYTES", "fingerprint_of", "shown"]
+__all__ = ["FINGERPRINT_BYTES", "fingerprint_of", "short_fingerprint"]
--- a/src/leadhollow/forward/plain_call.py
+++ b/src/leadhollow/forward/plain_forwarder.py
@@ -14,14 +14,14 @@
 from leadhollow.decide.server import Server
 from leadhollow.decide.server_load import OwnCall
 from leadhollow.failure import Failure
-from leadhollow.forward.board import ServerBoard
+from leadhollow.forward.buffered_response import BufferedResponse, buffer_response, first_successful
 from leadhollow.forward.call import ForwardedCall
-from leadhollow.forward.ending import Ending
-from leadhollow.forward.exchange import AttemptEnd, AttemptFailure, Exchange, Exchanger
-from leadhollow.forward.fingerprint import shown
-from leadhollow.forward.passing import pass_on
-from leadhollow.forward.plain_answer import WholeAnswer, first_good, take_whole
-from leadhollow.forward.suspect_exchange import SuspectExchange
+from leadhollow.forward.exchange import AttemptEnd, AttemptFailure, BackendClient, Exchange
+from leadhollow.forward.failure_response import FailureResponder
+from leadhollow.forward.fingerprint import short_fingerprint
+from leadhollow.forward.response_relay import relay_response
+from leadhollow.forward.server_directory import ServerDirectory
+from leadhollow.forward.suspect_sync import SuspectSync
 from leadhollow.http1.messages import Framing
 from leadhollow.kernel.active_time import active_since_s, active_wait, deadline_at
 from leadhollow.observe.logs import get_logger, log_decision
@@ -51,19 +51,19 @@
     def __init__(
         self,
         *,
-        board: ServerBoard,
+        directory: ServerDirectory,
         budget: RetryBudget,
-        ending: Ending,
-        exchanger: Exchanger,
-        suspects: SuspectExchange,
+        responder: FailureResponder,
+        client: BackendClient,
+        suspects: SuspectSync,
         failure_domain: str,
         seed: int,
     ) -> None:
         self._suspects = suspects
-        self._board = board
+        self._board = directory
         self._budget = budget
-        self._ending = ending
-        self._exchanger = exchanger
+        self._ending = responder
+        self._exchanger = client
         self._failure_domain = failure_domain
         self._random = random.Random(seed)
 
@@ -72,10 +72,10 @@
         quarantine = self._suspects.quarantine
         try:
             async with deadline_at(call.deadline_s) as limit:
-                with quarantine.running(call, limit):
+                with quarantine.track(call, limit):
                     await self._run(call)
         except TimeoutError:
-            if quarantine.holds(call):
+            if quarantine.is_quarantined(call):
                 await self._ending.quarantined(call)
             else:
                 await self._ending.timed_out(call)
@@ -83,7 +83,7 @@
     async def _run(self, call: ForwardedCall) -> None:
         excluded: set[str] = set()
         failure = Failure(code=Code.NO_CAPACITY)
-        fallback: WholeAnswer | None = None
+        fallback: BufferedResponse | None = None
         while await self._may_try_now(call):
             server = self._choose(call, excluded)
             if server is None:
@@ -100,21 +100,23 @@
                 failure = attempted.unwrap_err().failure
                 continue
             answer = attempted.unwrap()
-            if answer.good or not (answer.own_failure and self._may_try(call)):
+            if answer.successful or not (answer.server_error and self._may_try(call)):
                 await self._pass_on(call, answer)
                 return
             fallback = answer
-        if fallback is not None and fallback.exchange.facts.signed:
+        if fallback is not None and fallback.exchange.metadata.signed:
             await self._pass_on(call, fallback)
-        elif self._suspects.quarantine.holds(call):
+        elif self._suspects.quarantine.is_quarantined(call):
             await self._ending.quarantined(call)
         elif call.attempts:
             await self._ending.unknown(call, failure)
         else:
             await self._ending.not_run(call, failure, retry_after_s=self._retry_after_s(call))
 
-    async def _pass_on(self, call: ForwardedCall, answer: WholeAnswer) -> None:
-        passed = await pass_on(call, answer.exchange, taken=answer.data, whole=answer.whole)
+    async def _pass_on(self, call: ForwardedCall, answer: BufferedResponse) -> None:
+        passed = await relay_response(
+            call, answer.exchange, buffered=answer.data, complete=answer.complete
+        )
         if passed.is_err():
             self._ending.broken_off(call, passed.unwrap_err())
 
@@ -165,15 +167,15 @@
         return self._may_try(call)
 
     def _may_try(self, call: ForwardedCall) -> bool:
-        if self._suspects.quarantine.holds(call):
+        if self._suspects.quarantine.is_quarantined(call):
             return False
         if call.sends >= MOST_SENDS or call.attempts >= call.route.attempts:
             return False
-        return call.attempts == 0 or (call.route.repeatable and call.body.whole)
+        return call.attempts == 0 or (call.route.repeatable and call.body.complete)
 
     async def _attempt_hedged(
         self, call: ForwardedCall, server: Server, excluded: set[str]
-    ) -> Result[WholeAnswer, AttemptFailure]:
+    ) -> Result[BufferedResponse, AttemptFailure]:
         """Attempt at one server, and at a second one where the first takes long."""
         loop = asyncio.get_running_loop()
         first = loop.create_task(self._attempt(call, server))
@@ -185,13 +187,13 @@
                 if second is not None and self._budget.try_acquire(call.service):
                     excluded.add(second.instance.instance)
                     tasks.add(loop.create_task(self._attempt(call, second)))
-            return await first_good(tasks)
+            return await first_successful(tasks)
         finally:
             for task in tasks:
                 await _discard(task)
 
     def _may_hedge(self, call: ForwardedCall) -> bool:
-        repeatable = call.route.repeatable and call.body.whole
+        repeatable = call.route.repeatable and call.body.complete
         return repeatable and call.attempts + 1 < call.route.attempts
 
     def _choose(self, call: ForwardedCall, excluded: set[str]) -> Server | None:
@@ -230,27 +232,27 @@
 
     async def _attempt(
         self, call: ForwardedCall, server: Server
-    ) -> Result[WholeAnswer, AttemptFailure]:
+    ) -> Result[BufferedResponse, AttemptFailure]:
         loop = asyncio.get_running_loop()
         running = OwnCall(prompt_tokens=0, output_tokens=0, placed_s=loop.time(), predicted_ms=0.0)
         server.add_call(running)
         server.health.record_start(loop.time())
         call.sends += 1
-        call.note_asked(server.instance.instance)
+        call.record_dispatch(server.instance.instance)
         try:
             return await self._exchange(call, server, running)
         finally:
             server.remove_call(running, loop.time())
-            self._board.changed()
+            self._board.notify_change()
 
     async def _exchange(
         self, call: ForwardedCall, server: Server, running: OwnCall
-    ) -> Result[WholeAnswer, AttemptFailure]:
+    ) -> Result[BufferedResponse, AttemptFailure]:
         instance = server.instance
         call.attempts += 1  # taken back where it is certain that nothing ran
-        began = await self._exchanger.begin(
+        began = await self._exchanger.send(
             server=server,
-            running=running,
+            own_call=running,
             head=call.head,
             body=call.body,
             attempt_id=call.request_id,
@@ -270,35 +272,35 @@
 
     async def _take(
         self, call: ForwardedCall, server: Server, exchange: Exchange
-    ) -> Result[WholeAnswer, AttemptFailure]:
-        if exchange.facts.not_executed or exchange.status == HTTPStatus.MISDIRECTED_REQUEST:
+    ) -> Result[BufferedResponse, AttemptFailure]:
+        if exchange.metadata.not_executed or exchange.status == HTTPStatus.MISDIRECTED_REQUEST:
             return Err(self._refused(call, server, exchange))
-        taken = await take_whole(exchange)
+        taken = await buffer_response(exchange)
         if taken.is_err():
             failed = AttemptFailure(end=AttemptEnd.UNKNOWN, failure=taken.unwrap_err())
             self._note_failure(call, server, failed)
             exchange.abort()
             return Err(failed)
         answer = taken.unwrap()
-        if exchange.status < HTTPStatus.BAD_REQUEST and not exchange.facts.signed:
+        if exchange.status < HTTPStatus.BAD_REQUEST and not exchange.metadata.signed:
             failure = Failure(code=Code.ENGINE_FAILED, detail="a success without a signature")
             failed = AttemptFailure(end=AttemptEnd.UNKNOWN, failure=failure)
             self._note_failure(call, server, failed)
             exchange.abort()
             return Err(failed)
-        if answer.own_failure:
+        if answer.server_error:
             server.health.record_failure(asyncio.get_running_loop().time())
         else:
             server.health.record_success()
-            if exchange.answer.head.framing is not Framing.UNTIL_CLOSE:
-                self._suspects.note_good(server, call.fingerprint)
+            if exchange.response.head.framing is not Framing.UNTIL_CLOSE:
+                self._suspects.record_success(server, call.fingerprint)
         log.info(
             "answer taken",
             request=call.request_id,
-            fingerprint=shown(call.fingerprint),
+            fingerprint=short_fingerprint(call.fingerprint),
             instance=server.instance.instance,
             status=exchange.status,
-            framing=exchange.answer.head.framing.value,
+            framing=exchange.response.head.framing.value,
             size_bytes=len(answer.data),
             after_ms=round((asyncio.get_running_loop().time() - call.received_s) * 1000),
         )
@@ -308,8 +310,8 @@
         call.attempts -= 1
         instance = server.instance.instance
         server.health.record_inconclusive()
-        if exchange.facts.instance not in (None, instance):
-            self._board.wrong_instance(instance)
+        if exchange.metadata.instance not in (None, instance):
+            self._board.record_instance_mismatch(instance)
         log.info(
             "server refused", request=call.request_id, instance=instance, status=exchange.status
         )
@@ -332,18 +334,18 @@
             server.health.record_unreachable(now_s)
         else:
             server.health.record_failure(now_s)
-            self._suspects.note_broken(server, call.fingerprint)
+            self._suspects.record_interruption(server, call.fingerprint)
         log.warning(
             "attempt failed",
             request=call.request_id,
-            fingerprint=shown(call.fingerprint),
+            fingerprint=short_fingerprint(call.fingerprint),
             instance=server.instance.instance,
             end=failed.end.value,
             failure=str(failed.failure),
         )
 
 
-async def _discard(task: asyncio.Task[Result[WholeAnswer, AttemptFailure]]) -> None:
+async def _discard(task: asyncio.Task[Result[BufferedResponse, AttemptFailure]]) -> None:
     """Break off an attempt that is not needed any more."""
     if not task.done():
         task.cancel()
--- a/src/leadhollow/forward/pool.py
+++ b/src/leadhollow/forward/pool.py
@@ -59,7 +59,7 @@
         self.opened += 1
         return await open_connection(parsed.unwrap(), timeout_s=timeout_s)
 
-    async def prepare(self, address: str, *, timeout_s: float = CONNECT_TIMEOUT_S) -> bool:
+    async def preconnect(self, address: str, *, timeout_s: float = CONNECT_TIMEOUT_S) -> bool:
         """Open a connection and keep it for the next request; tells whether there is one."""
         opened = await self.acquire(address, fresh=True, timeout_s=timeout_s)
         if opened.is_ok():
@@ -75,7 +75,7 @@
         else:
             connection.close()
 
-    def drop(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address."""
         for connection in self._idle.pop(address, []):
             connection.close()
@@ -84,7 +84,7 @@
         """Close all idle connections."""
         await super().stop()
         for address in list(self._idle):
-            self.drop(address)
+            self.close_idle(address)
 
     async def _work(self) -> None:
         while True:
--- a/src/leadhollow/forward/quarantine.py
+++ b/src/leadhollow/forward/quarantine.py
@@ -9,7 +9,7 @@
 from leadhollow.decide.quarantine_rules import ENDS_TO_QUARANTINE
 from leadhollow.decide.suspects import SuspectTable
 from leadhollow.forward.call import ForwardedCall
-from leadhollow.forward.fingerprint import shown
+from leadhollow.forward.fingerprint import short_fingerprint
 from leadhollow.kernel.active_time import active_sleep
 from leadhollow.observe.logs import get_logger
 
@@ -35,7 +35,7 @@
         self.table = table
         self._running: dict[bytes, dict[ForwardedCall, asyncio.Timeout]] = {}
 
-    def holds(self, call: ForwardedCall) -> bool:
+    def is_quarantined(self, call: ForwardedCall) -> bool:
         """Tell whether a request must not be sent."""
         return self.table.is_quarantined(call.fingerprint)
 
@@ -52,7 +52,7 @@
             await active_sleep(VERDICT_S)
 
     @contextmanager
-    def running(self, call: ForwardedCall, limit: asyncio.Timeout) -> Iterator[None]:
+    def track(self, call: ForwardedCall, limit: asyncio.Timeout) -> Iterator[None]:
         """Keep a call among those that are broken off once their request is in quarantine.
 
         Parameters
@@ -69,7 +69,7 @@
             if not calls:
                 self._running.pop(call.fingerprint, None)
 
-    def break_off(self, fingerprints: Iterable[bytes]) -> None:
+    def abort_calls(self, fingerprints: Iterable[bytes]) -> None:
         """Break off what runs of requests in quarantine.
 
         A server that has not begun to run it yet, because it still reads or waits, goes on: that
@@ -80,7 +80,11 @@
             if not self.table.is_quarantined(fingerprint):
                 continue
             calls = self._running.get(fingerprint, {})
-            log.warning("request in quarantine", fingerprint=shown(fingerprint), running=len(calls))
+            log.warning(
+                "request in quarantine",
+                fingerprint=short_fingerprint(fingerprint),
+                running=len(calls),
+            )
             for limit in calls.values():
                 if not limit.expired():
                     limit.reschedule(now_s)
--- a/src/leadhollow/forward/limit_keeper.py
+++ b/src/leadhollow/forward/rate_limit_tracker.py
@@ -16,8 +16,8 @@
 from leadhollow.decide.server_load import OwnCall
 from leadhollow.decide.share_allocator import LEASE_S, EntryDemand
 from leadhollow.failure import Failure
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.dialect import AnswerFacts
+from leadhollow.forward.dialect import ResponseMetadata
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.kernel import clocks
 from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.control_feed import ControlFeed
@@ -44,7 +44,7 @@
         ...
 
 
-class LimitKeeper(BatchingService):
+class RateLimitTracker(BatchingService):
     """Limits as one entry knows them.
 
     Parameters
@@ -83,7 +83,7 @@
         *,
         vm: str,
         failure_domain: str,
-        board: ServerBoard,
+        directory: ServerDirectory,
         feed: ControlFeed,
         peers: PeerPool,
         demand: DemandGauge,
@@ -91,7 +91,7 @@
     ) -> None:
         self._vm = vm
         self._failure_domain = failure_domain
-        self._board = board
+        self._board = directory
         self._feed = feed
         self._peers = peers
         self._demand = demand
@@ -104,7 +104,7 @@
         self._mark = 0  # of the replica's table, as it last said
         self._whole_s = float("-inf")
         self._logged_s: dict[str, float] = {}
-        board.on_found(self._on_found)
+        directory.on_server_added(self._on_found)
         feed.on_limits(self._on_news)
         feed.on_limit_lease(self._on_lease)
         super().__init__(batch_window_s=GATHER_S, refresh_s=ASK_S)
@@ -113,10 +113,10 @@
         """Tell whether any limit is in force."""
         return bool(self.table.limits())
 
-    def note_answer(
+    def record_response(
         self,
         server: Server,
-        facts: AnswerFacts,
+        facts: ResponseMetadata,
         *,
         sent_s: float | None,
         call: OwnCall | None = None,
@@ -180,7 +180,7 @@
         for server in self._board.all_servers():
             if server.send_limiter is not None:
                 server.send_limiter.lease(shares.get(server.instance.life, 0.0), until_s=until_s)
-        self._board.changed()
+        self._board.notify_change()
 
     def _on_found(self, server: Server) -> None:
         if self.table.limit(server.instance.life) is not None:
@@ -202,7 +202,7 @@
                 source=self._random,
             )
         self._log(server, per_s, before)
-        self._board.changed()
+        self._board.notify_change()
 
     def _log(self, server: Server, per_s: float | None, before: SendLimiter | None) -> None:
         life, now_s = server.instance.life, clocks.elapsed_s()
--- a/src/leadhollow/forward/path_probes.py
+++ b/src/leadhollow/forward/reachability_prober.py
@@ -10,8 +10,8 @@
 import asyncio
 
 from leadhollow.decide.server import Server
-from leadhollow.forward.board import ServerBoard
 from leadhollow.forward.pool import ConnectionPool
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.observe.logs import get_logger
 
@@ -20,7 +20,7 @@
 log = get_logger("path")
 
 
-class PathProber(TaskService):
+class ReachabilityProber(TaskService):
     """Tries connections to unreachable servers.
 
     Parameters
@@ -31,8 +31,8 @@
 
     __slots__ = ("_board", "_pool")
 
-    def __init__(self, *, board: ServerBoard, pool: ConnectionPool) -> None:
-        self._board = board
+    def __init__(self, *, directory: ServerDirectory, pool: ConnectionPool) -> None:
+        self._board = directory
         self._pool = pool
         super().__init__()
 
@@ -43,7 +43,7 @@
             await asyncio.gather(*(self._try(server) for server in lost))
 
     async def _try(self, server: Server) -> None:
-        opened = await self._pool.prepare(server.instance.address)
+        opened = await self._pool.preconnect(server.instance.address)
         now_s = asyncio.get_running_loop().time()
         if not server.health.unreachable:
             return  # a request has found its way meanwhile
@@ -56,7 +56,7 @@
             address=server.instance.address,
         )
         server.health.record_reachable(now_s)
-        self._board.changed()
+        self._board.notify_change()
 
 
 __all__ = ["PathProber"]
--- a/src/leadhollow/forward/good_ends.py
+++ b/src/leadhollow/forward/recent_successes.py
@@ -10,7 +10,7 @@
 for a minute more at most."""
 
 
-class GoodEnds:
+class RecentSuccesses:
     """Fingerprints of requests that ended well, the latest last."""
 
     __slots__ = ("_ended_s",)
@@ -18,19 +18,19 @@
     def __init__(self) -> None:
         self._ended_s: OrderedDict[bytes, float] = OrderedDict()
 
-    def note(self, fingerprint: bytes, now_s: float) -> None:
+    def add(self, fingerprint: bytes, now_s: float) -> None:
         """Note a good end."""
         self._ended_s[fingerprint] = now_s
         self._ended_s.move_to_end(fingerprint)
         if len(self._ended_s) > KEPT:
             self._ended_s.popitem(last=False)
 
-    def knows(self, fingerprint: bytes, now_s: float) -> bool:
+    def contains(self, fingerprint: bytes, now_s: float) -> bool:
         """Tell whether a request ended well lately."""
         ended_s = self._ended_s.get(fingerprint)
         return ended_s is not None and now_s - ended_s < VALID_S
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Forget all, because servers are to run other weights from now on."""
         self._ended_s.clear()
 
--- a/src/leadhollow/forward/request_body.py
+++ b/src/leadhollow/forward/request_body.py
@@ -22,7 +22,15 @@
         Whether all of it is here, so that it may be sent again.
     """
 
-    __slots__ = ("_data", "_framing", "_incoming", "_length", "_limit_bytes", "_received", "whole")
+    __slots__ = (
+        "_data",
+        "_framing",
+        "_incoming",
+        "_length",
+        "_limit_bytes",
+        "_received",
+        "complete",
+    )
 
     def __init__(self, *, head: RequestHead, incoming: IncomingBody, limit_bytes: int) -> None:
         self._incoming = incoming
@@ -32,22 +40,22 @@
         self._length = int(declared) if declared is not None and declared.isdigit() else None
         self._data = b""
         self._received = 0
-        self.whole = False
+        self.complete = False
 
     @property
-    def kept(self) -> bytes:
+    def buffered(self) -> bytes:
         """What of it is here, all of it where it is whole."""
         return self._data
 
     @property
     def length(self) -> int | None:
         """Length in bytes, None where it is not known before its end."""
-        return len(self._data) if self.whole else self._length
+        return len(self._data) if self.complete else self._length
 
     @property
     def framing_fields(self) -> list[tuple[bytes, bytes]]:
         """Fields that tell a backend server where the body ends."""
-        if self.whole:
+        if self.complete:
             if not self._data and self._framing is Framing.NONE:
                 return []
             return [(b"Content-Length", b"%d" % len(self._data))]
@@ -74,7 +82,7 @@
                 return Err(read.unwrap_err())
             data = read.unwrap()
             if not data:
-                self.whole = True
+                self.complete = True
                 break
             parts.append(data)
         self._data = b"".join(parts)
@@ -82,9 +90,9 @@
 
     async def send(self, connection: ClientConnection) -> Result[None, Failure]:
         """Send the body, and what has not arrived yet as it arrives."""
-        chunked = not self.whole and self._length is None
+        chunked = not self.complete and self._length is None
         await connection.write(encode_chunk(self._data) if chunked else self._data)
-        while not self.whole:
+        while not self.complete:
             read = await self._next()
             if read.is_err():
                 connection.close()
--- a/src/leadhollow/forward/passing.py
+++ b/src/leadhollow/forward/response_relay.py
@@ -13,14 +13,14 @@
 FRAMING_FIELDS = frozenset({b"content-length"})
 
 
-def passed_fields(exchange: Exchange) -> Headers:
+def relayed_headers(exchange: Exchange) -> Headers:
     """Give the fields of an answer that its caller gets, without those that frame the body."""
-    ours = exchange.facts.ours | FRAMING_FIELDS
-    return exchange.answer.head.headers.end_to_end().without(ours)
+    ours = exchange.metadata.internal_fields | FRAMING_FIELDS
+    return exchange.response.head.headers.end_to_end().without(ours)
 
 
-async def pass_on(
-    call: ForwardedCall, exchange: Exchange, *, taken: bytes = b"", whole: bool = False
+async def relay_response(
+    call: ForwardedCall, exchange: Exchange, *, buffered: bytes = b"", complete: bool = False
 ) -> Result[None, Failure]:
     """Pass an answer on as it comes.
 
@@ -36,17 +36,17 @@
     BACKEND_LOST
         It broke off; what the caller has got of it must not look complete.
     """
-    head = exchange.answer.head
-    fields = passed_fields(exchange)
-    length = len(taken) if whole else head.content_length
+    head = exchange.response.head
+    fields = relayed_headers(exchange)
+    length = len(buffered) if complete else head.content_length
     call.reply.start(head.status, fields, reason=head.reason, content_length=length)
-    await call.reply.write(taken)
-    while not whole:
+    await call.reply.write(buffered)
+    while not complete:
         read = await exchange.read()
         if read.is_err():
             exchange.abort()
             return Err(read.unwrap_err())
-        call.last_heard_at_s = clocks.steady_s()
+        call.last_contact_s = clocks.steady_s()
         data = read.unwrap()
         if not data:
             break
--- a/src/leadhollow/forward/self_reports.py
+++ b/src/leadhollow/forward/self_reports.py
@@ -16,8 +16,8 @@
 from leadhollow.decide.server_backoff import ServerBackoff
 from leadhollow.decide.server_load import OwnCall
 from leadhollow.failure import Failure
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.dialect import AnswerFacts
+from leadhollow.forward.dialect import ResponseMetadata
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.kernel import clocks
 from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.control_feed import BackoffListener, FullUpdateListener
@@ -64,8 +64,10 @@
         "_rests",
     )
 
-    def __init__(self, *, board: ServerBoard, feed: RestFeed, peers: PeerPool, seed: int) -> None:
-        self._board = board
+    def __init__(
+        self, *, directory: ServerDirectory, feed: RestFeed, peers: PeerPool, seed: int
+    ) -> None:
+        self._board = directory
         self._random = random.Random(seed)
         self._feed = feed
         self._peers = peers
@@ -80,10 +82,10 @@
         """Tell whether any server that is known said that it leaves."""
         return bool(self._leaving)
 
-    def note_answer(
+    def record_response(
         self,
         server: Server,
-        facts: AnswerFacts,
+        facts: ResponseMetadata,
         *,
         sent_s: float | None,
         call: OwnCall | None,
@@ -110,17 +112,17 @@
         rest = self._rest_of(server)
         if rest.extend(rest_s):
             self._log_rest(server, rest_s)
-            self._board.changed()
+            self._board.notify_change()
             self._rests[server.instance.life] = rest.until_s
             self.note_change()
 
     def _on_rests(self, words: list[ServerWord]) -> None:
         """Take rests that were asked of other entries."""
         for word in words:
-            server = self._board.of_life(word.life or "")
+            server = self._board.server_by_life(word.life or "")
             if server is not None:
                 self._rest_of(server).record_peer_backoff(max(0, word.rest_ms or 0) / 1000)
-        self._board.changed()
+        self._board.notify_change()
 
     def _rest_of(self, server: Server) -> ServerBackoff:
         if server.backoff is None:
@@ -130,15 +132,15 @@
     def _end_rest(self, server: Server) -> None:
         server.backoff = None
         log.info("server takes requests again", **_named(server))
-        self._board.changed()
+        self._board.notify_change()
 
     def _note_leaving(self, server: Server) -> None:
         life = server.instance.life
-        if life in self._leaving or self._board.of_life(life) is None:
+        if life in self._leaving or self._board.server_by_life(life) is None:
             return
         self._log_once(server, "server leaves")
         self._leaving.add(life)
-        self._board.note_leaving(server)
+        self._board.record_leaving(server)
         self.note_change()
 
     def _on_followed(self) -> None:
@@ -147,7 +149,9 @@
             self.note_change()
 
     async def _publish(self, *, whole: bool) -> None:
-        self._leaving = {life for life in self._leaving if self._board.of_life(life) is not None}
+        self._leaving = {
+            life for life in self._leaving if self._board.server_by_life(life) is not None
+        }
         source = self._feed.source
         if not (self._leaving or self._rests) or not source:
             return
--- a/src/leadhollow/forward/board.py
+++ b/src/leadhollow/forward/server_directory.py
@@ -17,7 +17,7 @@
 log = get_logger("board")
 
 
-class ServerBoard:
+class ServerDirectory:
     """All backend servers that this entry may use.
 
     Parameters
@@ -58,11 +58,11 @@
         """Call a function when a place may have become free."""
         self._listeners.append(listener)
 
-    def on_found(self, listener: Callable[[Server], None]) -> None:
+    def on_server_added(self, listener: Callable[[Server], None]) -> None:
         """Call a function with each backend server, or life of one, that was not known."""
         self._found_listeners.append(listener)
 
-    def on_new_life(self, listener: Callable[[str], None]) -> None:
+    def on_restart(self, listener: Callable[[str], None]) -> None:
         """Call a function with the address of a server that started again under its name."""
         self._life_listeners.append(listener)
 
@@ -86,22 +86,22 @@
         """Find a backend server."""
         return self._servers.get(instance)
 
-    def take_load(self, record: LoadRecord, made_s: float) -> None:
+    def update_load_report(self, record: LoadRecord, made_s: float) -> None:
         """Take a report of load."""
         server = self._by_address.get(record.address)
         if server is not None:
             server.update_report(record, made_s)
-            self.changed()
+            self.notify_change()
 
     def on_use(self, listener: Callable[[str], None]) -> None:
         """Call a function with the address of an engine at which this entry's use changed."""
         self._use_listeners.append(listener)
 
-    def take_told(self, uses: dict[str, Use], whole: bool) -> None:
+    def update_peer_uses(self, uses: dict[str, Use], complete: bool) -> None:
         """Take what other entries have at engines; called with each update, also an empty one."""
         now_s = self._clock()
         self._told_s = now_s
-        if whole:
+        if complete:
             uses = dict.fromkeys(self._told, NO_USE) | uses
         self._told |= uses
         for address, use in uses.items():
@@ -109,7 +109,7 @@
             if server is not None:
                 server.update_peer_use(use, now_s)
         if uses:
-            self.changed()
+            self.notify_change()
 
     def hears_others(self) -> bool:
         """Tell whether a control replica passes on what other entries tell."""
@@ -124,26 +124,26 @@
         server = self._by_address.get(address)
         return NO_USE if server is None else server.use()
 
-    def note_leaving(self, server: Server) -> None:
+    def record_leaving(self, server: Server) -> None:
         """Note that a backend server said in an answer that it leaves."""
         self._table.record_leaving(server.instance.life)
 
-    def of_life(self, life: str) -> Server | None:
+    def server_by_life(self, life: str) -> Server | None:
         """Find a backend server in a certain life."""
         known = self._table.of_life(life)
         return None if known is None else self._servers.get(known.instance)
 
-    def wrong_instance(self, instance: str) -> None:
+    def record_instance_mismatch(self, instance: str) -> None:
         """Note that another incarnation runs at the address of this one."""
         log.warning("another backend server has the address", instance=instance)
         self._table.deregister(instance)
 
-    def changed(self) -> None:
+    def notify_change(self) -> None:
         """Tell those who wait for a place."""
         for listener in self._listeners:
             listener()
 
-    def tidy(self) -> None:
+    def prune(self) -> None:
         """Drop backend servers that the table does not know any more."""
         for instance in list(self._servers):
             if self._table.get(instance) is None:
@@ -180,7 +180,7 @@
                 self._drop(previous.instance.instance)
             server.instance = instance
             self._by_address[instance.address] = server
-        self.changed()
+        self.notify_change()
 
     def _known(self, service: str) -> int:
         """Count the backend servers of a service, those that leave included."""
--- a/src/leadhollow/forward/end_watch.py
+++ b/src/leadhollow/forward/server_end_detector.py
@@ -15,10 +15,10 @@
 from leadhollow.codes import Code
 from leadhollow.decide.server import Server
 from leadhollow.decide.server_ends import ServerEnd
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.fingerprint import shown
-from leadhollow.forward.good_ends import GoodEnds
+from leadhollow.forward.fingerprint import short_fingerprint
 from leadhollow.forward.pool import ConnectionPool
+from leadhollow.forward.recent_successes import RecentSuccesses
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.membership.instances import Instance, InstanceState
 from leadhollow.observe.logs import get_logger
 
@@ -59,7 +59,7 @@
         self.fingerprints: set[bytes] = set()
 
 
-class EndWatch:
+class ServerEndDetector:
     """Watches the servers that broke off requests of this entry.
 
     Parameters
@@ -71,17 +71,22 @@
     __slots__ = ("_board", "_broken", "_good", "_on_end", "_pool", "_tasks")
 
     def __init__(
-        self, *, board: ServerBoard, pool: ConnectionPool, good: GoodEnds, on_end: EndListener
+        self,
+        *,
+        directory: ServerDirectory,
+        pool: ConnectionPool,
+        successes: RecentSuccesses,
+        on_server_end: EndListener,
     ) -> None:
-        self._board = board
+        self._board = directory
         self._pool = pool
-        self._good = good
-        self._on_end = on_end
+        self._good = successes
+        self._on_end = on_server_end
         self._broken: OrderedDict[str, _Broken] = OrderedDict()
         self._tasks: set[asyncio.Task[None]] = set()
-        board.on_replaced(self._on_replaced)
+        directory.on_replaced(self._on_replaced)
 
-    def note_broken(self, server: Server, fingerprint: bytes) -> None:
+    def record_interruption(self, server: Server, fingerprint: bytes) -> None:
         """Note a request that a server broke off, or did not go on with."""
         now_s = _now_s()
         life = server.instance.life
@@ -154,7 +159,7 @@
             and other.instance.address not in lost
             and not other.health.unreachable
         ]
-        opened = [self._pool.prepare(address) for address in near[:NEIGHBOURS]]
+        opened = [self._pool.preconnect(address) for address in near[:NEIGHBOURS]]
         return any(await asyncio.gather(*opened))
 
     def _on_replaced(self, instance: Instance) -> None:
@@ -169,13 +174,13 @@
         server, now_s = found.server, _now_s()
         if server.instance.state is not InstanceState.READY or server.switching(now_s):
             return  # it said before that it would leave, or change its weights
-        ran = {one for one in found.fingerprints if not self._good.knows(one, now_s)}
+        ran = {one for one in found.fingerprints if not self._good.contains(one, now_s)}
         log.warning(
             "backend server ended while it ran requests",
             instance=server.instance.instance,
             address=server.instance.address,
             requests=len(found.fingerprints),
-            fingerprints=[shown(one) for one in sorted(ran)[:SHOWN]],
+            fingerprints=[short_fingerprint(one) for one in sorted(ran)[:SHOWN]],
         )
         if ran:
             self._on_end(ServerEnd(life=life, ran=ran, happened_s=found.first_s))
--- a/src/leadhollow/forward/silence.py
+++ b/src/leadhollow/forward/silence_monitor.py
@@ -8,7 +8,7 @@
 from leadhollow.kernel.active_time import ActiveTimer
 
 
-class SilenceWatch:
+class SilenceMonitor:
     """Calls back each time an engine has been silent for longer than expected.
 
     What is expected may change meanwhile, and an event costs no timer of its own: the watch looks
@@ -29,15 +29,15 @@
     def __init__(
         self,
         *,
-        heard_s: Callable[[], float],
-        patience_s: Callable[[], float],
+        last_received_s: Callable[[], float],
+        timeout_s: Callable[[], float],
         on_silent: Callable[[], None],
     ) -> None:
-        self._heard_s = heard_s
-        self._patience_s = patience_s
+        self._heard_s = last_received_s
+        self._patience_s = timeout_s
         self._on_silent = on_silent
-        self._from_s = heard_s()
-        self._timer = ActiveTimer(delay_s=patience_s(), callback=self._look)
+        self._from_s = last_received_s()
+        self._timer = ActiveTimer(delay_s=timeout_s(), callback=self._look)
 
     def stop(self) -> None:
         """Watch no more."""
--- a/src/leadhollow/forward/stream_attempt.py
+++ b/src/leadhollow/forward/stream_attempt.py
@@ -12,13 +12,13 @@
 from leadhollow.decide.engine_request import Placement
 from leadhollow.decide.retry_budget import RetryBudget
 from leadhollow.failure import Failure
-from leadhollow.forward.board import ServerBoard
 from leadhollow.forward.call import ForwardedCall
 from leadhollow.forward.event_source import EventSource
-from leadhollow.forward.exchange import AttemptEnd, AttemptFailure, Exchange, Exchanger
-from leadhollow.forward.fingerprint import shown
+from leadhollow.forward.exchange import AttemptEnd, AttemptFailure, BackendClient, Exchange
+from leadhollow.forward.fingerprint import short_fingerprint
 from leadhollow.forward.pool import CONNECT_TIMEOUT_S
-from leadhollow.forward.suspect_exchange import SuspectExchange
+from leadhollow.forward.server_directory import ServerDirectory
+from leadhollow.forward.suspect_sync import SuspectSync
 from leadhollow.http1.messages import Framing
 from leadhollow.kernel import active_time
 from leadhollow.observe.logs import get_logger
@@ -32,28 +32,28 @@
 log = get_logger("stream")
 
 
-class StreamParts:
+class StreamContext:
     """What the streams of one entry share."""
 
-    __slots__ = ("board", "budget", "exchanger", "queue", "suspects")
+    __slots__ = ("directory", "budget", "client", "queue", "suspects")
 
     def __init__(
         self,
         *,
-        board: ServerBoard,
+        directory: ServerDirectory,
         budget: RetryBudget,
-        exchanger: Exchanger,
+        client: BackendClient,
         queue: EngineQueue,
-        suspects: SuspectExchange,
+        suspects: SuspectSync,
     ) -> None:
-        self.board = board
+        self.directory = directory
         self.budget = budget
-        self.exchanger = exchanger
+        self.client = client
         self.queue = queue
         self.suspects = suspects
 
 
-class TriedEngines:
+class ExcludedEngines:
     """Engines that one request is not sent to again.
 
     Attributes
@@ -95,8 +95,8 @@
         "_noted",
         "_parts",
         "_tried",
-        "asked_s",
-        "failed_answer",
+        "sent_s",
+        "failed_response",
         "placement",
         "source",
     )
@@ -104,20 +104,20 @@
     def __init__(
         self,
         *,
-        parts: StreamParts,
+        context: StreamContext,
         call: ForwardedCall,
         placement: Placement,
-        tried: TriedEngines,
+        excluded: ExcludedEngines,
     ) -> None:
-        self._parts = parts
+        self._parts = context
         self._call = call
-        self._tried = tried
+        self._tried = excluded
         self._judged = False  # whether anything was learnt of the engine's health
         self._noted = False
-        self.asked_s = active_time.active_s()
+        self.sent_s = active_time.active_s()
         self.placement = placement
         self.source: EventSource | None = None
-        self.failed_answer: Exchange | None = None
+        self.failed_response: Exchange | None = None
 
     @property
     def instance(self) -> str:
@@ -125,9 +125,9 @@
         return self.placement.server.instance.instance
 
     @property
-    def reading(self) -> bool:
+    def awaiting_first_event(self) -> bool:
         """Whether nothing of an answer has come yet."""
-        return self.placement.call.in_prefill and self.failed_answer is None
+        return self.placement.call.in_prefill and self.failed_response is None
 
     async def open(self, *, last_event_id: int | None) -> Result[EventSource, Failure]:
         """Send the request and wait for an answer that is a stream.
@@ -138,8 +138,8 @@
             Another engine may be asked; what is to be learnt of this one has been noted.
         """
         call, placement = self._call, self.placement
-        call.note_asked(self.instance)
-        self.asked_s = active_time.active_s()
+        call.record_dispatch(self.instance)
+        self.sent_s = active_time.active_s()
         dispatch = call.dispatch(
             instance=self.instance,
             version=placement.expected_version,
@@ -148,9 +148,9 @@
         call.attempts += 1  # taken back where it is certain that nothing ran
         near_bound = placement.begin_by_s - asyncio.get_running_loop().time() < NEAR_BOUND_S
         try:
-            began = await self._parts.exchanger.begin(
+            began = await self._parts.client.send(
                 server=placement.server,
-                running=placement.call,
+                own_call=placement.call,
                 head=call.head,
                 body=call.body,
                 attempt_id=call.request_id,
@@ -166,9 +166,9 @@
             return Err(self._note_failure(began.unwrap_err()))
         exchange = began.unwrap()
         self.source = EventSource(exchange=exchange)
-        if exchange.facts.not_executed or exchange.status == HTTPStatus.MISDIRECTED_REQUEST:
+        if exchange.metadata.not_executed or exchange.status == HTTPStatus.MISDIRECTED_REQUEST:
             return Err(self._note_refused(exchange))
-        if exchange.status != HTTPStatus.OK or not exchange.facts.signed:
+        if exchange.status != HTTPStatus.OK or not exchange.metadata.signed:
             return Err(self._note_failed_answer(exchange))
         return Ok(self.source)
 
@@ -180,11 +180,11 @@
             self.placement.server.health.record_inconclusive()
         self._parts.queue.release(self.placement)
 
-    def heard_s(self) -> float:
+    def last_received_s(self) -> float:
         """Give when the engine was asked or last heard, by the clock of what could be heard."""
-        return self.asked_s if self.source is None else self.source.heard_s
+        return self.sent_s if self.source is None else self.source.last_received_s
 
-    def first_event_patience_s(self) -> float:
+    def first_event_timeout_s(self) -> float:
         """Give the silence that is expected before the first event."""
         return max(
             self._call.route.objective_ms / 1000,
@@ -192,34 +192,34 @@
             SHORTEST_STALL_S,
         )
 
-    def patience_s(self) -> float:
+    def silence_timeout_s(self) -> float:
         """Give the silence that is expected at most where the stream stands now."""
         if self.placement.call.in_prefill:
-            return self.first_event_patience_s()
+            return self.first_event_timeout_s()
         return max(SHORTEST_STALL_S, STALL_FACTOR * self._call.route.pause_objective_ms / 1000)
 
-    def note_whole(self) -> None:
+    def record_complete(self) -> None:
         """Note that the stream came to its end."""
         assert self.source is not None
         self._judged = True
         self.placement.server.health.record_success()
-        if self.source.exchange.answer.head.framing is not Framing.UNTIL_CLOSE:
-            self._parts.suspects.note_good(self.placement.server, self._call.fingerprint)
+        if self.source.exchange.response.head.framing is not Framing.UNTIL_CLOSE:
+            self._parts.suspects.record_success(self.placement.server, self._call.fingerprint)
 
-    def note_silent(self) -> None:
+    def record_silence(self) -> None:
         """Note an engine that writes nothing; new requests should rather go elsewhere."""
         self._tried.instances.add(self.instance)
         if self._noted:
             return
-        self._parts.suspects.note_broken(self.placement.server, self._call.fingerprint)
+        self._parts.suspects.record_interruption(self.placement.server, self._call.fingerprint)
         self._learn_failure()
         log.warning("engine is silent", **self._fields())
 
-    def note_lost(self, failure: Failure) -> None:
+    def record_lost(self, failure: Failure) -> None:
         """Note an engine that was sent the request and did not bring it to its end."""
         self._tried.instances.add(self.instance)
         self._tried.lost_domains.add(self.placement.server.instance.failure_domain)
-        self._parts.suspects.note_broken(self.placement.server, self._call.fingerprint)
+        self._parts.suspects.record_interruption(self.placement.server, self._call.fingerprint)
         self._learn_failure()
         log.warning("stream broken", **self._fields(), failure=str(failure))
 
@@ -239,31 +239,31 @@
         call = self._call
         return {
             "request": call.request_id,
-            "fingerprint": shown(call.fingerprint),
+            "fingerprint": short_fingerprint(call.fingerprint),
             "instance": self.instance,
             "address": self.placement.server.instance.address,
             "reading": self.placement.call.in_prefill,
             "silent_ms": round(call.silent_s() * 1000),
-            "held_up_ms": round(call.held_s() * 1000),
+            "held_up_ms": round(call.stalled_s() * 1000),
         }
 
     def _note_failed_answer(self, exchange: Exchange) -> Failure:
         self._judged = True
         self.placement.server.health.record_failure(asyncio.get_running_loop().time())
         self._tried.instances.add(self.instance)
-        self.failed_answer = exchange
+        self.failed_response = exchange
         log.warning(
             "engine failed",
             request=self._call.request_id,
             instance=self.instance,
             status=exchange.status,
-            signed=exchange.facts.signed,
+            signed=exchange.metadata.signed,
         )
         return Failure(code=Code.ENGINE_FAILED, detail=f"status {exchange.status}")
 
     def _note_failure(self, failed: AttemptFailure) -> Failure:
         if failed.may_have_run:
-            self.note_lost(failed.failure)
+            self.record_lost(failed.failure)
             return failed.failure
         self._tried.instances.add(self.instance)
         if failed.end is AttemptEnd.WITHHELD:
@@ -293,8 +293,8 @@
         """Take an engine's word that it did not run the request."""
         self._call.attempts -= 1
         self._tried.instances.add(self.instance)
-        if exchange.facts.instance not in (None, self.instance):
-            self._parts.board.wrong_instance(self.instance)
+        if exchange.metadata.instance not in (None, self.instance):
+            self._parts.directory.record_instance_mismatch(self.instance)
         log.info(
             "engine refused",
             request=self._call.request_id,
--- a/src/leadhollow/forward/second_engine.py
+++ b/src/leadhollow/forward/stream_hedge.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable, Iterator
 from contextlib import contextmanager
 
-from leadhollow.forward.silence import SilenceWatch
+from leadhollow.forward.silence_monitor import SilenceMonitor
 from leadhollow.forward.stream_attempt import StreamAttempt
 from leadhollow.forward.stream_relay import StreamRelay
 from leadhollow.kernel import active_time
@@ -18,7 +18,7 @@
 Placer = Callable[[], Awaitable[StreamAttempt | None]]
 
 
-class SecondEngine:
+class StreamHedge:
     """Asks engines beside the one that is silent, one at a time.
 
     Parameters
@@ -31,19 +31,21 @@
 
     __slots__ = ("_may_ask", "_on_first", "_place", "_relay", "_task")
 
-    def __init__(self, *, relay: StreamRelay, place: Placer, may_ask: Callable[[], bool]) -> None:
+    def __init__(
+        self, *, relay: StreamRelay, find_engine: Placer, may_send: Callable[[], bool]
+    ) -> None:
         self._relay = relay
-        self._may_ask = may_ask
-        self._place = place
+        self._may_ask = may_send
+        self._place = find_engine
         self._task: asyncio.Task[StreamAttempt | None] | None = None
         self._on_first: Callable[[], None] = _nothing
 
     @property
-    def asked(self) -> bool:
+    def active(self) -> bool:
         """Whether one is being asked, or has an event that was not taken yet."""
         return self._task is not None
 
-    def ask(self, request: str, on_first: Callable[[], None]) -> None:
+    def start(self, request: str, on_takeover: Callable[[], None]) -> None:
         """Ask another engine, unless one is being asked.
 
         Parameters
@@ -53,12 +55,12 @@
         """
         if self._task is not None:
             return
-        self._on_first = on_first
-        self._relay.on_progress = self.let_go
+        self._on_first = on_takeover
+        self._relay.on_progress = self.cancel
         self._task = asyncio.get_running_loop().create_task(self._run(request))
         self._task.add_done_callback(self._ended)
 
-    async def take(self) -> StreamAttempt | None:
+    async def result(self) -> StreamAttempt | None:
         """Wait for the engine that was asked; None where there is none, or it has no event."""
         task = self._task
         if task is None:
@@ -69,7 +71,7 @@
         self._task = None
         return None if task.cancelled() or task.exception() else task.result()
 
-    def let_go(self) -> None:
+    def cancel(self) -> None:
         """Let the engine stop, where one was asked: the first one went on, or nobody reads on."""
         task, self._task = self._task, None
         self._relay.on_progress = None
@@ -91,7 +93,7 @@
             self._relay.on_progress = None
 
     async def _run(self, request: str) -> StreamAttempt | None:
-        passed = self._relay.passed
+        passed = self._relay.batches_sent
         clock = active_time.clock()
         while True:
             held_before_s = clock.stalled_s()
@@ -103,7 +105,7 @@
                 if clock.stalled_s() > held_before_s:
                     await asyncio.sleep(INPUT_GRACE_S)  # the first one may have gone on meanwhile
                 found = await self._first_events(attempt)
-                if self._relay.passed != passed:
+                if self._relay.batches_sent != passed:
                     return None  # the first one went on
                 if found:
                     log.info("another engine goes on", request=request, instance=attempt.instance)
@@ -120,7 +122,7 @@
         try:
             async with deadline_at(attempt.placement.begin_by_s) as limit:
                 with self._watched(attempt, limit):
-                    opened = await attempt.open(last_event_id=self._relay.last_id)
+                    opened = await attempt.open(last_event_id=self._relay.last_event_id)
                     if opened.is_err():
                         return False
                     source = opened.unwrap()
@@ -130,9 +132,9 @@
                 raise
             return False
         if read.is_err():
-            attempt.note_lost(read.unwrap_err())
+            attempt.record_lost(read.unwrap_err())
             return False
-        source.keep(read.unwrap())
+        source.unread(read.unwrap())
         return True
 
     @contextmanager
@@ -140,12 +142,14 @@
         """Give an engine up that is silent too, where the request may be sent to one more."""
 
         def silent() -> None:
-            attempt.note_silent()
+            attempt.record_silence()
             if self._may_ask() and not limit.expired():
                 limit.reschedule(asyncio.get_running_loop().time())
 
-        watch = SilenceWatch(
-            heard_s=attempt.heard_s, patience_s=attempt.first_event_patience_s, on_silent=silent
+        watch = SilenceMonitor(
+            last_received_s=attempt.last_received_s,
+            timeout_s=attempt.first_event_timeout_s,
+            on_silent=silent,
         )
         try:
             yield
--- a/src/leadhollow/forward/stream_relay.py
+++ b/src/leadhollow/forward/stream_relay.py
@@ -14,8 +14,8 @@
 from leadhollow.forward.event_source import EventSource
 from leadhollow.forward.events import Event
 from leadhollow.forward.exchange import Exchange
-from leadhollow.forward.fingerprint import shown
-from leadhollow.forward.passing import passed_fields
+from leadhollow.forward.fingerprint import short_fingerprint
+from leadhollow.forward.response_relay import relayed_headers
 from leadhollow.http1.messages import Framing
 from leadhollow.kernel import active_time
 from leadhollow.observe.logs import get_logger
@@ -51,13 +51,13 @@
         "_clock",
         "_first_event_s",
         "_longest_pause_s",
-        "begun",
+        "started",
         "last_event_s",
-        "last_id",
+        "last_event_id",
         "on_progress",
         "owner",
-        "passed",
-        "taken_s",
+        "batches_sent",
+        "last_sent_s",
         "writing",
     )
 
@@ -66,13 +66,13 @@
         self._clock = active_time.clock()
         self._first_event_s = 0.0
         self._longest_pause_s = 0.0
-        self.begun = False
+        self.started = False
         self.last_event_s: float | None = None
-        self.last_id = call.facts.last_event_id
+        self.last_event_id = call.metadata.last_event_id
         self.on_progress: Callable[[], None] | None = None
         self.owner: object | None = None
-        self.passed = 0
-        self.taken_s = 0.0
+        self.batches_sent = 0
+        self.last_sent_s = 0.0
         self.writing = False
 
     async def run(
@@ -88,7 +88,7 @@
             Its events are out of order, or too large.
         """
         call = self._call
-        call.engine = placement.server.instance.instance
+        call.last_instance = placement.server.instance.instance
         while True:
             read = await source.read()
             if self.owner is not attempt:
@@ -106,7 +106,7 @@
                 placement.server.record_first_event(placement.call)
                 placement.server.health.record_first_event()
                 self._note_first_event(placement)
-            self.passed += 1
+            self.batches_sent += 1
             if self.on_progress is not None:
                 self.on_progress()
             self._begin_reply(source.exchange)
@@ -114,25 +114,25 @@
             self.writing = True
             await call.reply.write(b"".join(event.data for event in events))
             self.writing = False
-            self.taken_s = self._clock.active_s()
+            self.last_sent_s = self._clock.active_s()
 
     def _note_pause(self) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._call.last_heard_at_s = now_s
+        self._call.last_contact_s = now_s
         if self.last_event_s is not None:
             self._longest_pause_s = max(self._longest_pause_s, now_s - self.last_event_s)
         self.last_event_s = now_s
 
     def _in_order(self, events: list[Event]) -> bool:
         """Check that events follow on each other without a gap or a repeat."""
-        last_id = self.last_id
+        last_id = self.last_event_id
         for event in events:
             if event.event_id is None:
                 continue
             if last_id is not None and event.event_id != last_id + 1:
                 return False
             last_id = event.event_id
-        self.last_id = last_id
+        self.last_event_id = last_id
         return True
 
     def _finish(self, placement: Placement, exchange: Exchange) -> None:
@@ -142,12 +142,12 @@
         self._log_done(placement)
 
     def _begin_reply(self, exchange: Exchange) -> None:
-        if self.begun:
+        if self.started:
             return
-        self.begun = True
-        head = exchange.answer.head
+        self.started = True
+        head = exchange.response.head
         length = head.content_length if head.framing is Framing.LENGTH else None
-        fields = passed_fields(exchange)
+        fields = relayed_headers(exchange)
         # a stream that another engine may have to go on with must not declare a length
         length = None if self._call.route.repeatable else length
         self._call.reply.start(head.status, fields, reason=head.reason, content_length=length)
@@ -171,12 +171,12 @@
         log.info(
             "stream complete",
             request=self._call.request_id,
-            fingerprint=shown(self._call.fingerprint),
+            fingerprint=short_fingerprint(self._call.fingerprint),
             instance=placement.server.instance.instance,
             after_ms=round((now_s - self._call.received_s) * 1000),
             first_ms=round((self._first_event_s - self._call.received_s) * 1000),
             longest_pause_ms=round(self._longest_pause_s * 1000),
-            last_event_id=self.last_id,
+            last_event_id=self.last_event_id,
             attempts=self._call.attempts,
         )
 
--- a/src/leadhollow/forward/suspect_exchange.py
+++ b/src/leadhollow/forward/suspect_sync.py
@@ -8,12 +8,12 @@
 from leadhollow.decide.server import Server
 from leadhollow.decide.server_ends import ServerEnd
 from leadhollow.decide.suspects import SuspectTable
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.end_watch import EndWatch
-from leadhollow.forward.fingerprint import shown
-from leadhollow.forward.good_ends import GoodEnds
+from leadhollow.forward.fingerprint import short_fingerprint
 from leadhollow.forward.pool import ConnectionPool
 from leadhollow.forward.quarantine import Quarantine
+from leadhollow.forward.recent_successes import RecentSuccesses
+from leadhollow.forward.server_directory import ServerDirectory
+from leadhollow.forward.server_end_detector import ServerEndDetector
 from leadhollow.kernel.active_time import ActiveTimer
 from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.control_feed import ControlFeed
@@ -37,7 +37,7 @@
 log = get_logger("quarantine")
 
 
-class SuspectExchange(BatchingService):
+class SuspectSync(BatchingService):
     """Keeps this entry's table like those of all others."""
 
     __slots__ = (
@@ -50,18 +50,25 @@
         "_whole_s",
         "quarantine",
         "table",
-        "watch",
+        "end_detector",
     )
 
     def __init__(
-        self, *, board: ServerBoard, feed: ControlFeed, pool: ConnectionPool, peers: PeerPool
+        self,
+        *,
+        directory: ServerDirectory,
+        feed: ControlFeed,
+        pool: ConnectionPool,
+        peers: PeerPool,
     ) -> None:
         self.table = SuspectTable(clock=asyncio.get_running_loop().time)
         self.quarantine = Quarantine(table=self.table)
         self._feed = feed
         self._peers = peers
-        self._good = GoodEnds()
-        self.watch = EndWatch(board=board, pool=pool, good=self._good, on_end=self._on_end)
+        self._good = RecentSuccesses()
+        self.end_detector = ServerEndDetector(
+            directory=directory, pool=pool, successes=self._good, on_server_end=self._on_end
+        )
         self._changed = SuspectChanges()
         self._told = ""  # replica that was told everything
         self._mark = 0  # of the replica's table, as it last said
@@ -73,15 +80,15 @@
     async def stop(self) -> None:
         """Look for no ends any more."""
         await super().stop()
-        await self.watch.stop()
+        await self.end_detector.stop()
 
-    def note_broken(self, server: Server, fingerprint: bytes) -> None:
+    def record_interruption(self, server: Server, fingerprint: bytes) -> None:
         """Note a request that a server broke off."""
-        self.watch.note_broken(server, fingerprint)
+        self.end_detector.record_interruption(server, fingerprint)
 
-    def note_good(self, server: Server, fingerprint: bytes) -> None:
+    def record_success(self, server: Server, fingerprint: bytes) -> None:
         """Note a request whose answer came whole."""
-        self._good.note(fingerprint, asyncio.get_running_loop().time())
+        self._good.add(fingerprint, asyncio.get_running_loop().time())
         if self.table.suspected_lives(fingerprint):
             self._clear(fingerprint)
         life = server.instance.life
@@ -92,7 +99,7 @@
 
     def _clear(self, fingerprint: bytes) -> None:
         lives = self.table.clear(fingerprint)
-        log.info("request cleared", fingerprint=shown(fingerprint), ends=len(lives))
+        log.info("request cleared", fingerprint=short_fingerprint(fingerprint), ends=len(lives))
         self._changed.lives |= lives
         self.note_change()
 
@@ -107,7 +114,7 @@
             return
         made = {verdict.fingerprint for verdict in self.table.update_quarantine()}
         self._changed.fingerprints |= made
-        self.quarantine.break_off(made)
+        self.quarantine.abort_calls(made)
 
     def _on_news(self, news: SuspectNews, whole: bool) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -120,16 +127,16 @@
             log.warning("news of suspects not taken", failure=str(taken.unwrap_err()))
             return
         changed = taken.unwrap()
-        self.quarantine.break_off(changed.fingerprints)
+        self.quarantine.abort_calls(changed.fingerprints)
         for life in changed.lives:
             end = self.table.end(life)
             for fingerprint in () if end is None else end.suspects:
-                if self._good.knows(fingerprint, now_s):
+                if self._good.contains(fingerprint, now_s):
                     self._clear(fingerprint)
 
     def _on_catalog(self, items: list[CatalogItem]) -> None:
         if any(isinstance(item.value, NamedVersion) and item.value.named for item in items):
-            self._good.forget()
+            self._good.clear()
 
     async def _publish(self, *, whole: bool) -> None:
         """Tell the replica that is followed what is news, or all where it does not know it."""
--- a/src/leadhollow/forward/targets.py
+++ b/src/leadhollow/forward/targets.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from leadhollow.forward.board import ServerBoard
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.routing.model import Route
 
 
@@ -18,14 +18,14 @@
         Called with the service of each request.
     """
 
-    __slots__ = ("_board", "_random", "note_request")
+    __slots__ = ("_board", "_random", "record_request")
 
     def __init__(
-        self, *, board: ServerBoard, note_request: Callable[[str], None], seed: int
+        self, *, directory: ServerDirectory, record_request: Callable[[str], None], seed: int
     ) -> None:
-        self._board = board
+        self._board = directory
         self._random = random.Random(seed)
-        self.note_request = note_request
+        self.record_request = record_request
 
     def choose(self, route: Route) -> str:
         """Give the service of one request; one without any backend server only if all are so."""
--- a/src/leadhollow/forward/use_reporter.py
+++ b/src/leadhollow/forward/use_reporter.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from leadhollow.decide.pressure import DecisionCounts
-from leadhollow.forward.board import ServerBoard
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.kernel.batching_service import BatchingService
 from leadhollow.membership.control_feed import ControlFeed
 from leadhollow.membership.uses import encode_decisions, encode_uses
@@ -36,19 +36,19 @@
     def __init__(
         self,
         *,
-        board: ServerBoard,
+        directory: ServerDirectory,
         decisions: Callable[[], Mapping[str, DecisionCounts]],
         feed: ControlFeed,
         peers: PeerPool,
     ) -> None:
-        self._board = board
+        self._board = directory
         self._decisions = decisions
         self._decisions_s = 0.0
         self._feed = feed
         self._peers = peers
         self._dirty: set[str] = set()
         self._told = ""  # replica that knows everything
-        board.on_use(self._note)
+        directory.on_use(self._note)
         super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
 
     def _note(self, address: str) -> None:
--- a/src/leadhollow/node/entry_role.py
+++ b/src/leadhollow/node/entry_role.py
@@ -9,19 +9,19 @@
 from leadhollow.decide.isolation import IsolationDetector
 from leadhollow.decide.retry_budget import RetryBudget
 from leadhollow.decide.version_policy import VersionPolicy
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.ending import Ending
-from leadhollow.forward.exchange import Exchanger
-from leadhollow.forward.limit_keeper import LimitKeeper
-from leadhollow.forward.path_probes import PathProber
-from leadhollow.forward.plain_call import PlainForwarder
+from leadhollow.forward.caller_listener import CallerListener
+from leadhollow.forward.exchange import BackendClient
+from leadhollow.forward.failure_response import FailureResponder
+from leadhollow.forward.plain_forwarder import PlainForwarder
 from leadhollow.forward.pool import ConnectionPool
+from leadhollow.forward.rate_limit_tracker import RateLimitTracker
+from leadhollow.forward.reachability_prober import ReachabilityProber
 from leadhollow.forward.readiness import ReadinessListener
 from leadhollow.forward.self_reports import SelfReports
-from leadhollow.forward.service import CallerListener
-from leadhollow.forward.stream_attempt import StreamParts
-from leadhollow.forward.stream_call import StreamForwarder
-from leadhollow.forward.suspect_exchange import SuspectExchange
+from leadhollow.forward.server_directory import ServerDirectory
+from leadhollow.forward.stream_attempt import StreamContext
+from leadhollow.forward.stream_forwarder import StreamForwarder
+from leadhollow.forward.suspect_sync import SuspectSync
 from leadhollow.forward.targets import TargetChooser
 from leadhollow.forward.use_reporter import UseReporter
 from leadhollow.kernel import clocks
@@ -66,10 +66,10 @@
         clock = asyncio.get_running_loop().time
         dialect = process.dialects.calls
         self.routes = RouteIndex(catalog=feed.catalog)
-        self.directory = ServerBoard(table=feed.table, clock=clock)
-        self.directory.on_new_life(pool.drop)
-        feed.on_load(self.directory.take_load)
-        feed.on_uses(self.directory.take_told)
+        self.directory = ServerDirectory(table=feed.table, clock=clock)
+        self.directory.on_restart(pool.close_idle)
+        feed.on_load(self.directory.update_load_report)
+        feed.on_uses(self.directory.update_peer_uses)
         self.budget = RetryBudget(
             bounds=settings.bounds, entries=lambda: feed.entries, clock=clocks.elapsed_s
         )
@@ -89,44 +89,44 @@
         self._request_queued = asyncio.Event()
         self.queue.on_waiting(self._request_queued.set)
         feed.on_decisions(self.queue.update_peer_decisions)
-        self.responder = Ending(dialect=dialect)
-        self.suspects = SuspectExchange(
-            board=self.directory, feed=feed, pool=pool, peers=process.peers
+        self.responder = FailureResponder(dialect=dialect)
+        self.suspects = SuspectSync(
+            directory=self.directory, feed=feed, pool=pool, peers=process.peers
         )
-        self.limits = LimitKeeper(
+        self.limits = RateLimitTracker(
             vm=settings.vm,
             failure_domain=settings.failure_domain,
-            board=self.directory,
+            directory=self.directory,
             feed=feed,
             peers=process.peers,
             demand=self.budget,
             seed=process.seed,
         )
         self.self_reports = SelfReports(
-            board=self.directory, feed=feed, peers=process.peers, seed=process.seed
+            directory=self.directory, feed=feed, peers=process.peers, seed=process.seed
         )
-        backend_client = Exchanger(
+        backend_client = BackendClient(
             dialect=dialect, pool=pool, listeners=(self.limits, self.self_reports)
         )
-        stream_context = StreamParts(
-            board=self.directory,
+        stream_context = StreamContext(
+            directory=self.directory,
             budget=self.budget,
-            exchanger=backend_client,
+            client=backend_client,
             queue=self.queue,
             suspects=self.suspects,
         )
-        self.stream_forwarder = StreamForwarder(parts=stream_context, ending=self.responder)
+        self.stream_forwarder = StreamForwarder(context=stream_context, responder=self.responder)
         self.plain_forwarder = PlainForwarder(
-            board=self.directory,
+            directory=self.directory,
             budget=self.budget,
-            ending=self.responder,
-            exchanger=backend_client,
+            responder=self.responder,
+            client=backend_client,
             suspects=self.suspects,
             failure_domain=settings.failure_domain,
             seed=process.seed,
         )
         self.chooser = TargetChooser(
-            board=self.directory, note_request=self.budget.record_request, seed=process.seed
+            directory=self.directory, record_request=self.budget.record_request, seed=process.seed
         )
         super().__init__()
 
@@ -141,7 +141,7 @@
                 self.queue.pump_held()
             if loop.time() >= prune_at_s:
                 prune_at_s = loop.time() + TIDY_INTERVAL_S
-                self.directory.tidy()
+                self.directory.prune()
 
     async def _wait_for_queued_request(self, max_wait_s: float) -> None:
         """Wait until a request is queued, so that an entry with an empty queue does not wake up."""
@@ -182,7 +182,7 @@
         feed = kernel.get("feed", ControlFeed)
         dispatcher = kernel.get("dispatching", EntryDispatcher)
         return UseReporter(
-            board=dispatcher.directory,
+            directory=dispatcher.directory,
             decisions=dispatcher.queue.decisions,
             feed=feed,
             peers=process.peers,
@@ -199,7 +199,7 @@
 
     def make_prober() -> Service:
         directory = kernel.get("dispatching", EntryDispatcher).directory
-        return PathProber(board=directory, pool=kernel.get("pool", ConnectionPool))
+        return ReachabilityProber(directory=directory, pool=kernel.get("pool", ConnectionPool))
 
     def make_callers() -> Service:
         dispatcher = kernel.get("dispatching", EntryDispatcher)
@@ -211,7 +211,7 @@
             plain=dispatcher.plain_forwarder,
             streams=dispatcher.stream_forwarder,
             suspects=dispatcher.suspects,
-            ending=dispatcher.responder,
+            responder=dispatcher.responder,
             stop_grace_s=settings.bounds.stop_grace_s,
             seed=process.seed,
         )
--- a/src/leadhollow/platform/callers.py
+++ b/src/leadhollow/platform/callers.py
@@ -8,7 +8,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.forward.dialect import AnswerFacts, CallFacts, Dispatch
+from leadhollow.forward.dialect import DispatchMetadata, RequestMetadata, ResponseMetadata
 from leadhollow.http1.decimals import read_decimal
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import RequestHead, ResponseHead
@@ -64,7 +64,7 @@
             message="answer", known=answer_fields.KNOWN, unusual=answer_fields.UNUSUAL
         )
 
-    def read_call(self, head: RequestHead) -> Result[CallFacts, Failure]:
+    def parse_request(self, head: RequestHead) -> Result[RequestMetadata, Failure]:
         """Decode what a caller says."""
         headers = head.headers
         usage = _pair(headers.text(TOKEN_USAGE))
@@ -77,7 +77,7 @@
         prompt_tokens, output_tokens = usage.unwrap()
         last_event_id = last_event.unwrap()
         return Ok(
-            CallFacts(
+            RequestMetadata(
                 attempt_id=headers.text(ATTEMPT_ID),
                 deadline_ms=deadline.unwrap(),
                 key=_key(headers.text(AUTHORIZATION)),
@@ -90,7 +90,7 @@
             )
         )
 
-    def dispatched(self, head: RequestHead, dispatch: Dispatch) -> Headers:
+    def dispatch_headers(self, head: RequestHead, dispatch: DispatchMetadata) -> Headers:
         """Give the fields that an engine or plain service gets."""
         headers = head.headers.end_to_end().without(SET_BY_US)
         headers.add(b"X-Deadline-Ms", b"%d" % int(dispatch.deadline_ms))
@@ -105,7 +105,7 @@
             headers.add(b"X-Request-Priority", b"%d" % dispatch.urgency)
         return headers
 
-    def read_answer(self, head: ResponseHead) -> AnswerFacts:
+    def parse_response(self, head: ResponseHead) -> ResponseMetadata:
         """Decode what an engine or plain service says."""
         headers = head.headers
         attempt_id = headers.get(ATTEMPT_ID)
@@ -116,7 +116,7 @@
         turned_away = unusual and head.status == HTTPStatus.SERVICE_UNAVAILABLE
         rests = headers.get_all(RETRY_AFTER) if turned_away else []
         rest_s = read_decimal(rests)
-        return AnswerFacts(
+        return ResponseMetadata(
             attempt_id=None if attempt_id is None else attempt_id.decode("latin-1"),
             limit_per_s=limit_per_s,
             limit_malformed=bool(limits) and limit_per_s is None,
@@ -129,7 +129,7 @@
             instance=instance or None,
         )
 
-    def refusal(self, failure: Failure, retry_after_s: float | None) -> Headers:
+    def error_headers(self, failure: Failure, retry_after_s: float | None) -> Headers:
         """Give the fields of an answer of our own."""
         headers = Headers(items=[(b"Content-Type", b"text/plain")])
         if retry_after_s is not None:
--- a/tests/decide/test_engine_choice_cost.py
+++ b/tests/decide/test_engine_choice_cost.py
@@ -39,7 +39,7 @@
         server.instance.address: Use(requests=4 * SPEC.slots, unread_tokens=60_000)
         for server in servers
     }
-    pool.board.take_told(uses, True)
+    pool.board.update_peer_uses(uses, True)
     return pool, servers
 
 
@@ -53,7 +53,7 @@
         pool.queue.pump()
         assert computed_loads == []  # nothing has changed since the requests were submitted
         free = Use(requests=0, unread_tokens=0)
-        pool.board.take_told({servers[0].instance.address: free}, False)
+        pool.board.update_peer_uses({servers[0].instance.address: free}, False)
         placed = sum(1 for waiter in waiters if waiter.ended)
         assert placed >= 1
         assert len(computed_loads) <= (placed + 1) * ENGINES
@@ -61,7 +61,7 @@
     async def test_get_a_released_slot_at_once(self):
         pool, servers = make_full_pool()
         free = Use(requests=SPEC.slots - 1, unread_tokens=0)
-        pool.board.take_told({servers[0].instance.address: free}, False)
+        pool.board.update_peer_uses({servers[0].instance.address: free}, False)
         first = pool.queue.submit(make_request())
         assert first.placement is not None
         second = pool.queue.submit(make_request(on_time_s=0.3, decide_s=5.0))
--- a/tests/decide/test_engine_queue.py
+++ b/tests/decide/test_engine_queue.py
@@ -15,8 +15,8 @@
 from leadhollow.decide.pressure import Pressure
 from leadhollow.decide.server import Server
 from leadhollow.decide.server_backoff import ServerBackoff
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.places import place
+from leadhollow.forward.engine_placement import wait_for_placement
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.membership.instances import Instance, InstanceState, ServedVersion
 from leadhollow.membership.uses import NO_USE, Use
@@ -62,7 +62,7 @@
     def __init__(self, weights: FakeVersionRules | None = None) -> None:
         loop = asyncio.get_running_loop()
         self.table = InstanceTable(forget_after_s=LONG_S)
-        self.board = ServerBoard(table=self.table, clock=loop.time)
+        self.board = ServerDirectory(table=self.table, clock=loop.time)
         self.queue = EngineQueue(
             directory=self.board,
             versions=weights or FakeVersionRules(),
@@ -98,7 +98,7 @@
 
     def report(self, server: Server, *, age_s: float = 0.0, **load: int) -> None:
         record = LoadRecord(address=server.instance.address, **load)
-        self.board.take_load(record, asyncio.get_running_loop().time() - age_s)
+        self.board.update_load_report(record, asyncio.get_running_loop().time() - age_s)
 
 
 def make_request(
@@ -150,7 +150,7 @@
 
 
 async def placed(pool: EnginePool, request: EngineRequest | None = None) -> Placement:
-    found = await place(pool.queue, request or make_request())
+    found = await wait_for_placement(pool.queue, request or make_request())
     assert found.is_ok(), found
     return found.unwrap()
 
@@ -235,7 +235,7 @@
             part = pool.engine("part", active=0, queued=0)
             half = ServedVersion(model="m", version=1, first_layer=0, end_layer=8).to_record()
             pool.report(part, active=0, queued=0, models=[half])
-            found = await place(pool.queue, make_request(excluded={"tried"}))
+            found = await wait_for_placement(pool.queue, make_request(excluded={"tried"}))
             assert found.unwrap_err().code is Code.NO_CAPACITY
 
         run_in_loop(work)
@@ -248,7 +248,7 @@
             chosen = pool.engine("chosen", active=0, queued=0)
             other = pool.engine("other", active=1, queued=0)
             peer_use = Use(requests=3, unread_tokens=4_000)
-            pool.board.take_told({chosen.instance.address: peer_use}, False)
+            pool.board.update_peer_uses({chosen.instance.address: peer_use}, False)
             assert (await placed(pool)).server is other
 
         run_in_loop(work)
@@ -258,12 +258,12 @@
             pool = EnginePool()
             freed = pool.engine("freed")
             full = Use(requests=4, unread_tokens=0)
-            pool.board.take_told({freed.instance.address: full}, True)
+            pool.board.update_peer_uses({freed.instance.address: full}, True)
             other = pool.engine("other", active=0, queued=0)
             uses = {other.instance.address: Use(requests=2, unread_tokens=0)}
             await asyncio.sleep(0.05)
             pool.report(freed, age_s=0.02, active=4, queued=0)
-            pool.board.take_told(uses, True)
+            pool.board.update_peer_uses(uses, True)
             assert (await placed(pool)).server is freed
 
         run_in_loop(work)
@@ -271,7 +271,7 @@
     def test_requests_that_no_entry_reported_are_taken_from_the_load_report(self):
         async def work() -> None:
             pool = EnginePool()
-            pool.board.take_told({}, True)
+            pool.board.update_peer_uses({}, True)
             pool.engine("used", active=4, queued=2)
             free = pool.engine("free", active=1, queued=0)
             assert (await placed(pool)).server is free
@@ -310,7 +310,7 @@
         async def work() -> None:
             pool = EnginePool()
             pool.engine("full", active=4, queued=6)
-            found = await place(pool.queue, make_request(on_time_s=0.2))
+            found = await wait_for_placement(pool.queue, make_request(on_time_s=0.2))
             assert found.unwrap_err().code is Code.NO_CAPACITY
             assert pool.queue.waiting == 0
 
@@ -321,7 +321,7 @@
             pool = EnginePool()
             server = pool.engine("full", active=4, queued=6)
             waiting = asyncio.create_task(
-                place(pool.queue, make_request(on_time_s=0.3, decide_s=2.0))
+                wait_for_placement(pool.queue, make_request(on_time_s=0.3, decide_s=2.0))
             )
             await asyncio.sleep(0.01)
             assert pool.queue.waiting == 1
@@ -342,7 +342,7 @@
         async def work() -> None:
             pool = EnginePool()
             pool.engine("half", active=2, queued=0, pace_permille=9_000)
-            found = await place(pool.queue, make_request(on_time_s=0.2))
+            found = await wait_for_placement(pool.queue, make_request(on_time_s=0.2))
             assert found.unwrap_err().code is Code.NO_CAPACITY
             idle = pool.engine("idle", active=1, queued=0, pace_permille=9_000)
             assert (await placed(pool, make_request(on_time_s=0.2))).server is idle
@@ -357,7 +357,7 @@
         """Let two requests wait for a full engine and free a slot for one of them."""
         places = [
             asyncio.create_task(
-                place(
+                wait_for_placement(
                     pool.queue, make_request(on_time_s=0.4, decide_s=0.5, queue_priority=priority)
                 )
             )
@@ -385,7 +385,7 @@
     def test_a_new_request_goes_before_a_caller_retry_also_after_an_outage(self):
         async def work() -> None:
             pool = EnginePool()
-            refused = await place(pool.queue, make_request())
+            refused = await wait_for_placement(pool.queue, make_request())
             assert refused.is_err()
             server = pool.engine("back", active=4, queued=9)
             await self.check_second_is_placed_first(
@@ -398,7 +398,9 @@
         async def work() -> None:
             pool = EnginePool()
             server = pool.engine("used", active=2, queued=0)
-            back = await place(pool.queue, make_request(queue_priority=QueuePriority.CAME_BACK))
+            back = await wait_for_placement(
+                pool.queue, make_request(queue_priority=QueuePriority.CAME_BACK)
+            )
             assert back.unwrap_err().code is Code.NO_CAPACITY
             assert (
                 await placed(pool, make_request(queue_priority=QueuePriority.NEW))
@@ -421,7 +423,7 @@
         async def work() -> None:
             pool = EnginePool()
             server = pool.engine("full", active=4, queued=9)
-            holding = asyncio.create_task(place(pool.queue, make_last_request()))
+            holding = asyncio.create_task(wait_for_placement(pool.queue, make_last_request()))
             await asyncio.sleep(0.05)
             assert pool.queue.waiting == 1
             pool.queue.pump_held()
@@ -436,9 +438,11 @@
         async def work() -> None:
             pool = EnginePool()
             server = pool.engine("full", active=4, queued=9)
-            holding = asyncio.create_task(place(pool.queue, make_last_request()))
+            holding = asyncio.create_task(wait_for_placement(pool.queue, make_last_request()))
             await asyncio.sleep(0.05)
-            new = asyncio.create_task(place(pool.queue, make_request(on_time_s=0.1, decide_s=5.0)))
+            new = asyncio.create_task(
+                wait_for_placement(pool.queue, make_request(on_time_s=0.1, decide_s=5.0))
+            )
             await asyncio.sleep(0.01)
             pool.report(server, active=2, queued=0, pace_permille=9_000)
             pool.queue.pump_held()
@@ -456,7 +460,7 @@
         async def work() -> None:
             pool = EnginePool()
             pool.engine("full", active=4, queued=9)
-            found = await place(pool.queue, make_last_request())
+            found = await wait_for_placement(pool.queue, make_last_request())
             assert found.unwrap_err().code is Code.NO_CAPACITY
             assert pool.queue.waiting == 0
 
@@ -467,9 +471,9 @@
             pool = EnginePool()
             pool.engine("full", active=4, queued=9)
             for _ in range(12):
-                await place(pool.queue, make_request(on_time_s=0.01, decide_s=0.0))
-            await place(pool.queue, make_last_request())
-            holding = asyncio.create_task(place(pool.queue, make_last_request()))
+                await wait_for_placement(pool.queue, make_request(on_time_s=0.01, decide_s=0.0))
+            await wait_for_placement(pool.queue, make_last_request())
+            holding = asyncio.create_task(wait_for_placement(pool.queue, make_last_request()))
             await asyncio.sleep(0.1)
             assert holding.done()
 
@@ -478,7 +482,7 @@
     def test_no_request_is_held_if_no_engine_serves(self):
         async def work() -> None:
             pool = EnginePool()
-            holding = asyncio.create_task(place(pool.queue, make_last_request()))
+            holding = asyncio.create_task(wait_for_placement(pool.queue, make_last_request()))
             await asyncio.sleep(0.1)
             assert holding.done()
 
@@ -488,7 +492,7 @@
     def test_a_resumed_stream_waits_for_an_engine_to_appear(self):
         async def work() -> None:
             pool = EnginePool()
-            holding = asyncio.create_task(place(pool.queue, make_resumed_request()))
+            holding = asyncio.create_task(wait_for_placement(pool.queue, make_resumed_request()))
             await asyncio.sleep(0.1)
             assert not holding.done()
             server = pool.engine("comes", active=0, queued=0)
@@ -501,9 +505,11 @@
         async def work() -> None:
             pool = EnginePool()
             server = pool.engine("full", active=4, queued=9)
-            holding = asyncio.create_task(place(pool.queue, make_resumed_request()))
+            holding = asyncio.create_task(wait_for_placement(pool.queue, make_resumed_request()))
             await asyncio.sleep(0.05)
-            new = asyncio.create_task(place(pool.queue, make_request(on_time_s=0.1, decide_s=5.0)))
+            new = asyncio.create_task(
+                wait_for_placement(pool.queue, make_request(on_time_s=0.1, decide_s=5.0))
+            )
             await asyncio.sleep(0.01)
             pool.report(server, active=4, queued=0, pace_permille=9_000)
             pool.queue.pump_held()
@@ -516,7 +522,7 @@
     def test_a_resumed_stream_is_refused_at_its_deadline(self):
         async def work() -> None:
             pool = EnginePool()
-            found = await place(pool.queue, make_resumed_request(hold_s=0.1))
+            found = await wait_for_placement(pool.queue, make_resumed_request(hold_s=0.1))
             assert found.unwrap_err().code is Code.NO_CAPACITY
             assert pool.queue.waiting == 0
 
@@ -527,7 +533,7 @@
             pool = EnginePool()
             pool.engine("full", active=4, queued=9)
             holding = [
-                asyncio.create_task(place(pool.queue, make_last_request()))
+                asyncio.create_task(wait_for_placement(pool.queue, make_last_request()))
                 for _ in range(MAX_HELD + 3)
             ]
             await asyncio.sleep(0.1)
@@ -543,7 +549,9 @@
         async def work() -> None:
             pool = EnginePool()
             server = pool.engine("full", active=4, queued=9)
-            waiting = asyncio.create_task(place(pool.queue, make_request(decide_s=5.0)))
+            waiting = asyncio.create_task(
+                wait_for_placement(pool.queue, make_request(decide_s=5.0))
+            )
             await asyncio.sleep(0.01)
             pool.report(server, active=0, queued=0)  # the request is placed in this turn
             waiting.cancel()
@@ -561,7 +569,7 @@
             end_s = loop.time() + 0.05
             loop.call_at(end_s - 0.0005, lambda: time.sleep(0.002))  # both timers are due then
             loop.call_at(end_s - 0.0001, lambda: pool.report(server, active=0, queued=0))
-            found = await place(pool.queue, make_request(decide_s=0.05))
+            found = await wait_for_placement(pool.queue, make_request(decide_s=0.05))
             assert found.is_ok()
             assert server.own_requests == 1
 
@@ -600,12 +608,16 @@
         async def work() -> None:
             pool = EnginePool()
             pool.engine("used", active=3, queued=0)
-            calm = await place(pool.queue, make_request(on_time_s=0.25))
+            calm = await wait_for_placement(pool.queue, make_request(on_time_s=0.25))
             pool.queue.release(calm.unwrap())
             for _ in range(12):
-                refused = await place(pool.queue, make_request(on_time_s=0.01, decide_s=0.0))
+                refused = await wait_for_placement(
+                    pool.queue, make_request(on_time_s=0.01, decide_s=0.0)
+                )
                 assert refused.is_err()
-            pressed = await place(pool.queue, make_request(on_time_s=0.25, decide_s=0.0))
+            pressed = await wait_for_placement(
+                pool.queue, make_request(on_time_s=0.25, decide_s=0.0)
+            )
             assert pressed.unwrap_err().code is Code.NO_CAPACITY
 
         run_in_loop(work)
@@ -615,10 +627,14 @@
             pool = EnginePool()
             full = pool.engine("full", active=4, queued=9)
             for _ in range(12):
-                refused = await place(pool.queue, make_request(on_time_s=0.25, decide_s=0.0))
+                refused = await wait_for_placement(
+                    pool.queue, make_request(on_time_s=0.25, decide_s=0.0)
+                )
                 assert refused.is_err()
             pool.report(full, active=2, queued=0)
-            assert (await place(pool.queue, make_request(on_time_s=0.2, decide_s=0.0))).is_ok()
+            assert (
+                await wait_for_placement(pool.queue, make_request(on_time_s=0.2, decide_s=0.0))
+            ).is_ok()
 
         run_in_loop(work)
 
@@ -627,7 +643,7 @@
             pool = EnginePool()
             pool.engine("used", active=3, queued=0)
             large = make_request(on_time_s=0.25, prompt_tokens=4_000, decide_s=0.0)
-            assert (await place(pool.queue, large)).is_ok()
+            assert (await wait_for_placement(pool.queue, large)).is_ok()
 
         run_in_loop(work)
 
@@ -647,7 +663,7 @@
         async def work() -> None:
             pool = EnginePool(FakeVersionRules(newest=2, left_s=1.5))
             pool.engine("old", version=1, active=0, queued=0, path_delay_ms=path_delay_ms)
-            found = await place(pool.queue, make_request())
+            found = await wait_for_placement(pool.queue, make_request())
             assert found.is_ok() is (path_delay_ms == 5)
 
         run_in_loop(work)
@@ -657,7 +673,7 @@
             pool = EnginePool(FakeVersionRules(newest=2, left_s=1.5))
             server = pool.engine("old", version=1)
             pool.report(server, age_s=1.0, active=0, queued=0)
-            assert (await place(pool.queue, make_request())).is_err()
+            assert (await wait_for_placement(pool.queue, make_request())).is_err()
 
         run_in_loop(work)
 
@@ -701,7 +717,7 @@
     @staticmethod
     async def refused_after_s(pool: EnginePool, request: EngineRequest) -> float:
         began_s = asyncio.get_running_loop().time()
-        found = await place(pool.queue, request)
+        found = await wait_for_placement(pool.queue, request)
         assert found.unwrap_err().code is Code.NO_CAPACITY
         return asyncio.get_running_loop().time() - began_s
 
@@ -723,7 +739,7 @@
             pool = EnginePool()
             engine = self.in_backoff(pool, "short", 0.1)
             request = make_request(on_time_s=2.0, decide_s=0.01)
-            waiting = asyncio.create_task(place(pool.queue, request))
+            waiting = asyncio.create_task(wait_for_placement(pool.queue, request))
             await asyncio.sleep(0.3)
             pool.queue.pump()
             assert (await waiting).unwrap().server is engine
--- a/tests/decide/test_new_engine.py
+++ b/tests/decide/test_new_engine.py
@@ -23,7 +23,7 @@
         pool.engine("e" * number + "x")
     uses = {server.instance.address: busy for server in pool.board.all_servers()}
     uses[pool.board.all_servers()[0].instance.address] = Use(requests=0, unread_tokens=0)
-    pool.board.take_told(uses, True)
+    pool.board.update_peer_uses(uses, True)
     pool.queue = EngineQueue(
         directory=pool.board,
         versions=FakeVersionRules(),
--- a/tests/forward/stream_world.py
+++ b/tests/forward/stream_world.py
@@ -18,8 +18,8 @@
 from leadhollow.failure import Failure
 from leadhollow.forward.call import ForwardedCall
 from leadhollow.forward.exchange import AttemptEnd, AttemptFailure
-from leadhollow.forward.stream_attempt import StreamParts
-from leadhollow.forward.stream_call import _StreamRun
+from leadhollow.forward.stream_attempt import StreamContext
+from leadhollow.forward.stream_forwarder import _StreamRun
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import Framing
 
@@ -148,10 +148,10 @@
         quarantine = SimpleNamespace(
             running=_running, holds=lambda _: False, wait_for_verdict=_nothing
         )
-        parts = StreamParts(
-            board=SimpleNamespace(),  # type: ignore[arg-type]
+        parts = StreamContext(
+            directory=SimpleNamespace(),  # type: ignore[arg-type]
             budget=SimpleNamespace(try_acquire=lambda _: True, refund=lambda _: None),  # type: ignore[arg-type]
-            exchanger=SimpleNamespace(begin=self._begin),  # type: ignore[arg-type]
+            client=SimpleNamespace(begin=self._begin),  # type: ignore[arg-type]
             queue=self,  # type: ignore[arg-type]
             suspects=SimpleNamespace(  # type: ignore[arg-type]
                 quarantine=quarantine,
@@ -255,7 +255,7 @@
         return ForwardedCall(
             head=SimpleNamespace(),  # type: ignore[arg-type]
             body=SimpleNamespace(whole=True),  # type: ignore[arg-type]
-            facts=facts,  # type: ignore[arg-type]
+            metadata=facts,  # type: ignore[arg-type]
             route=route,  # type: ignore[arg-type]
             service="s",
             organisation=None,
--- a/tests/forward/test_exchange.py
+++ b/tests/forward/test_exchange.py
@@ -12,11 +12,11 @@
 from leadhollow.decide.server import Server
 from leadhollow.decide.server_backoff import ServerBackoff
 from leadhollow.decide.server_load import OwnCall
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.dialect import Dispatch
-from leadhollow.forward.exchange import AttemptEnd, Exchanger
+from leadhollow.forward.dialect import DispatchMetadata
+from leadhollow.forward.exchange import AttemptEnd, BackendClient
 from leadhollow.forward.request_body import RequestBody
 from leadhollow.forward.self_reports import SelfReports
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.http1.body import IncomingBody
 from leadhollow.http1.client_connection import open_connection
 from leadhollow.http1.headers import Headers
@@ -77,11 +77,13 @@
         host, port = self.listener.sockets[0].getsockname()
         self.address = f"{host}:{port}"
         self.table = InstanceTable(forget_after_s=60.0)
-        self.board = ServerBoard(table=self.table, clock=asyncio.get_running_loop().time)
+        self.board = ServerDirectory(table=self.table, clock=asyncio.get_running_loop().time)
         self.announce("i-1")
         self.pool = SlowPool()
-        reports = SelfReports(board=self.board, feed=Feed(), peers=None, seed=1)
-        self.exchanger = Exchanger(dialect=PlatformCalls(), pool=self.pool, listeners=(reports,))
+        reports = SelfReports(directory=self.board, feed=Feed(), peers=None, seed=1)
+        self.exchanger = BackendClient(
+            dialect=PlatformCalls(), pool=self.pool, listeners=(reports,)
+        )
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -120,10 +122,10 @@
         nothing = IncomingBody(pause=lambda: None, resume=lambda: None)
         head = RequestHead(method=b"GET", target=b"/", headers=Headers())
         body = RequestBody(head=head, incoming=nothing, limit_bytes=1)
-        body.whole = True
-        return await self.exchanger.begin(
+        body.complete = True
+        return await self.exchanger.send(
             server=self.server,
-            running=OwnCall(prompt_tokens=0, output_tokens=0, placed_s=0.0, predicted_ms=0.0),
+            own_call=OwnCall(prompt_tokens=0, output_tokens=0, placed_s=0.0, predicted_ms=0.0),
             head=head,
             body=body,
             attempt_id=ATTEMPT,
--- a/tests/forward/test_ending.py
+++ b/tests/forward/test_failure_response.py
@@ -7,12 +7,12 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.forward.end_reason import EndReason
-from leadhollow.forward.ending import Ending
+from leadhollow.forward.failure_response import FailureResponder
 from tests.forward.stream_world import StreamWorld
 
 
 class Dialect:
-    def refusal(self, *_: object) -> None:
+    def error_headers(self, *_: object) -> None:
         return None
 
 
@@ -29,7 +29,7 @@
 @pytest.fixture
 def lines(monkeypatch) -> Lines:
     made = Lines()
-    monkeypatch.setattr("leadhollow.forward.ending.log", made)
+    monkeypatch.setattr("leadhollow.forward.failure_response.log", made)
     return made
 
 
@@ -49,7 +49,7 @@
         call = StreamWorld().call
         call.attempts = attempts
         call.reply.started = True
-        ending = Ending(dialect=Dialect())
+        ending = FailureResponder(dialect=Dialect())
         await ending.unknown(call, Failure(code=code))
         assert lines.fields[0]["reason"] == reason.value
         assert ending.cut[reason] == 1
@@ -58,5 +58,5 @@
         call = StreamWorld().call
         call.deadline_s -= 1.0
         call.attempts, call.reply.started = 1, True
-        await Ending(dialect=Dialect()).timed_out(call)
+        await FailureResponder(dialect=Dialect()).timed_out(call)
         assert lines.fields[0]["reason"] == EndReason.CALLER_DEADLINE.value
--- a/tests/forward/test_parts.py
+++ b/tests/forward/test_parts.py
@@ -194,12 +194,12 @@
             rest = rest[size:]
         assert b"".join(event.data for event in found) == EVENTS
         assert [event.event_id for event in found] == [1, 2, 3]
-        assert splitter.rest == b""
+        assert splitter.remainder == b""
 
     def test_half_an_event_is_kept_back(self):
         splitter = EventSplitter()
         assert splitter.feed(b"id: 1\ndata: a\n") == []
-        assert splitter.rest == b"id: 1\ndata: a\n"
+        assert splitter.remainder == b"id: 1\ndata: a\n"
 
     def test_carriage_returns_are_understood(self):
         (event,) = EventSplitter().feed(b"id: 7\r\ndata: a\r\n\r\n")
--- a/tests/forward/test_limit_keeper.py
+++ b/tests/forward/test_rate_limit_tracker.py
@@ -9,9 +9,9 @@
 import pytest
 
 from leadhollow.decide.share_allocator import LEASE_S
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.dialect import AnswerFacts
-from leadhollow.forward.limit_keeper import FORGET_S, LimitKeeper
+from leadhollow.forward.dialect import ResponseMetadata
+from leadhollow.forward.rate_limit_tracker import FORGET_S, RateLimitTracker
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.kernel import clocks
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.membership.instances import Instance, InstanceState
@@ -41,12 +41,12 @@
 
     def __init__(self) -> None:
         self.table = InstanceTable(forget_after_s=60.0)
-        self.board = ServerBoard(table=self.table, clock=asyncio.get_running_loop().time)
+        self.board = ServerDirectory(table=self.table, clock=asyncio.get_running_loop().time)
         self.feed = Feed()
-        self.keeper = LimitKeeper(
+        self.keeper = RateLimitTracker(
             vm="entry",
             failure_domain="d",
-            board=self.board,
+            directory=self.board,
             feed=self.feed,
             peers=None,
             demand=Demand(),
@@ -75,8 +75,8 @@
         return self.board.servers("s")[0]
 
     def answer(self, *, sent_s: float | None = None, **facts: object) -> None:
-        said = AnswerFacts(attempt_id=None, signed=True, not_executed=False, **facts)
-        self.keeper.note_answer(self.server, said, sent_s=sent_s)
+        said = ResponseMetadata(attempt_id=None, signed=True, not_executed=False, **facts)
+        self.keeper.record_response(self.server, said, sent_s=sent_s)
 
     def lease(self, share: float | None, *, vm: str = "entry", asked_s: float = 0.0) -> None:
         asked_ms = int((clocks.elapsed_s() + asked_s) * 1000)
--- a/tests/forward/test_path_probes.py
+++ b/tests/forward/test_reachability_prober.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.path_probes import PathProber
 from leadhollow.forward.pool import ConnectionPool
+from leadhollow.forward.reachability_prober import ReachabilityProber
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.membership.instances import Instance, InstanceState
 from leadhollow.settings.deployment import Listener, LoopbackAddresses
@@ -35,12 +35,12 @@
             loop = asyncio.get_running_loop()
             address = LoopbackAddresses()("one", Listener.WIRE)
             table = InstanceTable(forget_after_s=60.0)
-            board = ServerBoard(table=table, clock=loop.time)
+            board = ServerDirectory(table=table, clock=loop.time)
             table.merge(an_instance(address))
             server = board.server("i-1")
             assert server is not None
             pool = ConnectionPool()
-            prober = PathProber(board=board, pool=pool)
+            prober = ReachabilityProber(directory=board, pool=pool)
             await prober.start()
             server.health.record_unreachable(loop.time())
             await asyncio.sleep(OUTAGE_S)
--- a/tests/forward/test_passing.py
+++ b/tests/forward/test_response_relay.py
@@ -4,7 +4,7 @@
 
 from types import SimpleNamespace
 
-from leadhollow.forward.passing import passed_fields
+from leadhollow.forward.response_relay import relayed_headers
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import Framing, ResponseHead
 from leadhollow.platform.callers import PlatformCalls
@@ -15,9 +15,9 @@
         status=status, reason=b"", headers=Headers(items=fields), framing=Framing.LENGTH
     )
     exchange = SimpleNamespace(
-        answer=SimpleNamespace(head=head), facts=PlatformCalls().read_answer(head)
+        answer=SimpleNamespace(head=head), facts=PlatformCalls().parse_response(head)
     )
-    return [name for name, _ in passed_fields(exchange)]
+    return [name for name, _ in relayed_headers(exchange)]
 
 
 class TestFields:
--- a/tests/forward/test_self_report_fleet.py
+++ b/tests/forward/test_self_report_fleet.py
@@ -13,9 +13,9 @@
 from leadhollow.control.self_report_relay import SelfReportRelay
 from leadhollow.decide.server_load import OwnCall
 from leadhollow.forward import self_reports
-from leadhollow.forward.board import ServerBoard
-from leadhollow.forward.dialect import AnswerFacts
+from leadhollow.forward.dialect import ResponseMetadata
 from leadhollow.forward.self_reports import SelfReports
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.membership.instances import Instance, InstanceState
 from leadhollow.wire.generated.ttypes import ServerWord, ServerWords
@@ -76,8 +76,8 @@
         self.feed = Feed()
         self.cut = False
         self.table = InstanceTable(forget_after_s=60.0)
-        self.board = ServerBoard(table=self.table, clock=asyncio.get_running_loop().time)
-        self.reports = SelfReports(board=self.board, feed=self.feed, peers=self, seed=1)
+        self.board = ServerDirectory(table=self.table, clock=asyncio.get_running_loop().time)
+        self.reports = SelfReports(directory=self.board, feed=self.feed, peers=self, seed=1)
 
     async def connection(self, address: str):
         return Ok(self)
@@ -91,8 +91,8 @@
         if server is not None:
             call = OwnCall(prompt_tokens=0, output_tokens=0, placed_s=0.0, predicted_ms=0.0)
             server.claim_send(call)
-            said = AnswerFacts(attempt_id=None, signed=True, not_executed=False, **facts)
-            self.reports.note_answer(server, said, sent_s=None, call=call)
+            said = ResponseMetadata(attempt_id=None, signed=True, not_executed=False, **facts)
+            self.reports.record_response(server, said, sent_s=None, call=call)
             server.remove_call(call, 0.0)
 
     def may_send(self) -> bool:
--- a/tests/forward/test_board.py
+++ b/tests/forward/test_server_directory.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leadhollow.forward.board import ServerBoard
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.wire.generated.ttypes import LoadRecord
 from tests.membership.test_instances import make_instance
@@ -19,9 +19,9 @@
 
     def __init__(self) -> None:
         self.table = InstanceTable(forget_after_s=60.0)
-        self.board = ServerBoard(table=self.table, clock=lambda: NOW_S)
+        self.board = ServerDirectory(table=self.table, clock=lambda: NOW_S)
         self.closed: list[str] = []
-        self.board.on_new_life(self.closed.append)
+        self.board.on_restart(self.closed.append)
         self.table.merge(make_instance(sequence=40, born_ms=FIRST_MS))
 
     def start_again(self) -> None:
@@ -46,13 +46,13 @@
 
     def test_is_not_judged_by_a_late_report_of_the_former_one(self, entry):
         entry.start_again()
-        entry.board.take_load(LoadRecord(ADDRESS, active=9, born_ms=FIRST_MS), NOW_S)
+        entry.board.update_load_report(LoadRecord(ADDRESS, active=9, born_ms=FIRST_MS), NOW_S)
         assert entry.board.server("i-1").report is None
-        entry.board.take_load(LoadRecord(ADDRESS, active=1, born_ms=SECOND_MS), NOW_S)
+        entry.board.update_load_report(LoadRecord(ADDRESS, active=1, born_ms=SECOND_MS), NOW_S)
         assert entry.board.server("i-1").report.record.active == 1
 
     async def test_may_use_the_name_that_was_given_up(self, entry):
-        entry.board.wrong_instance("i-1")
+        entry.board.record_instance_mismatch("i-1")
         assert entry.board.server("i-1") is None
         entry.start_again()
         assert entry.board.server("i-1") is not None
--- a/tests/forward/test_silent_connections.py
+++ b/tests/forward/test_silent_connections.py
@@ -8,8 +8,8 @@
 
 from leadhollow.decide.server import Server
 from leadhollow.decide.server_load import OwnCall
-from leadhollow.forward.dialect import AnswerFacts, Dispatch
-from leadhollow.forward.exchange import SILENT_S, Exchanger
+from leadhollow.forward.dialect import DispatchMetadata, ResponseMetadata
+from leadhollow.forward.exchange import SILENT_S, BackendClient
 from leadhollow.forward.pool import ConnectionPool
 from leadhollow.forward.request_body import RequestBody
 from leadhollow.http1.body import IncomingBody
@@ -25,11 +25,11 @@
 class PlainDialect:
     """No fields of its own."""
 
-    def dispatched(self, head, dispatch):
+    def dispatch_headers(self, head, dispatch):
         return Headers()
 
-    def read_answer(self, head):
-        return AnswerFacts(attempt_id=None, signed=True, not_executed=False)
+    def parse_response(self, head):
+        return ResponseMetadata(attempt_id=None, signed=True, not_executed=False)
 
 
 class SilentServer:
@@ -71,16 +71,16 @@
     def __init__(self, address: str) -> None:
         self.address = address
         self.pool = ConnectionPool()
-        self.exchanger = Exchanger(dialect=PlainDialect(), pool=self.pool, listeners=())
+        self.exchanger = BackendClient(dialect=PlainDialect(), pool=self.pool, listeners=())
 
     async def ask(self) -> bytes:
         nothing = IncomingBody(pause=lambda: None, resume=lambda: None)
         head = RequestHead(method=b"GET", target=b"/", headers=Headers())
         body = RequestBody(head=head, incoming=nothing, limit_bytes=1)
-        body.whole = True
-        begun = await self.exchanger.begin(
+        body.complete = True
+        begun = await self.exchanger.send(
             server=a_server(self.address),
-            running=OwnCall(prompt_tokens=0, output_tokens=0, placed_s=0.0, predicted_ms=0.0),
+            own_call=OwnCall(prompt_tokens=0, output_tokens=0, placed_s=0.0, predicted_ms=0.0),
             head=head,
             body=body,
             attempt_id="",
--- a/tests/forward/test_held_up.py
+++ b/tests/forward/test_stalled_event_loop.py
@@ -58,7 +58,7 @@
             pool = ConnectionPool()
             active_time.clock()
             opening = [
-                asyncio.create_task(pool.prepare(str(slow_server.address))) for _ in range(5)
+                asyncio.create_task(pool.preconnect(str(slow_server.address))) for _ in range(5)
             ]
             await asyncio.sleep(0)
             time.sleep(HOLD_S)
--- a/tests/kernel/test_clocks.py
+++ b/tests/kernel/test_clocks.py
@@ -19,7 +19,7 @@
 from leadhollow.control.confirmation import ConfirmationMonitor
 from leadhollow.decide.version_policy import VersionPolicy
 from leadhollow.forward.call import ForwardedCall
-from leadhollow.forward.dialect import CallFacts
+from leadhollow.forward.dialect import RequestMetadata
 from leadhollow.forward.pool import ConnectionPool
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import RequestHead
@@ -150,7 +150,7 @@
         call = ForwardedCall(
             head=RequestHead(method=b"GET", target=b"/", headers=Headers()),
             body=None,
-            facts=CallFacts(deadline_ms=40_000.0),
+            metadata=RequestMetadata(deadline_ms=40_000.0),
             route=SimpleNamespace(timeout_ms=60_000, objective_ms=500),
             service="s",
             organisation=None,
@@ -158,9 +158,9 @@
             received_s=clocks.steady_s(),
             fingerprint=b"",
         )
-        assert 39_000 < call.left_ms() <= 40_000
+        assert 39_000 < call.remaining_ms() <= 40_000
         suspend()
-        assert call.left_ms() <= 10_000
+        assert call.remaining_ms() <= 10_000
 
 
 class TestIdleConnection:
@@ -169,8 +169,8 @@
         host, port = server.sockets[0].getsockname()[:2]
         address = f"{host}:{port}"
         pool = ConnectionPool()
-        assert await pool.prepare(address)
-        assert await pool.prepare(address)
+        assert await pool.preconnect(address)
+        assert await pool.preconnect(address)
         assert (await pool.acquire(address, fresh=False)).is_ok()
         assert (pool.opened, pool.reused) == (2, 1)
         suspend()
--- a/tests/node/test_unchanged_servers.py
+++ b/tests/node/test_unchanged_servers.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from leadhollow.forward.board import ServerBoard
+from leadhollow.forward.server_directory import ServerDirectory
 from leadhollow.node import control_role, entry_role
 from leadhollow.node.entry_role import EntryDispatcher
 from tests.node.site import PlainServer, Site, route
@@ -49,7 +49,7 @@
 
 def known_servers(site: Site) -> list[str]:
     """Return the instances that the entry may use."""
-    directory: ServerBoard = site.entry.kernel.get("dispatching", EntryDispatcher).directory
+    directory: ServerDirectory = site.entry.kernel.get("dispatching", EntryDispatcher).directory
     return [server.instance.instance for server in directory.servers("status")]
 
 
--- a/tests/observe/test_unknown_fields.py
+++ b/tests/observe/test_unknown_fields.py
@@ -35,18 +35,18 @@
     def test_with_an_unknown_field_are_reported_once(self, lines):
         calls = PlatformCalls()
         for value in (b"1", b"2"):
-            calls.read_answer(answer((b"X-Instance-Id", b"i-1"), (b"X-New-Field", value)))
+            calls.parse_response(answer((b"X-Instance-Id", b"i-1"), (b"X-New-Field", value)))
         assert [(line["field"], line["sender"]) for line in lines] == [("x-new-field", "i-1")]
 
     def test_with_known_fields_are_not_reported(self, lines):
         fields = [(b"Content-Type", b"text/plain"), (b"X-ATTEMPT-ID", b"a"), (b"Date", b"now")]
-        PlatformCalls().read_answer(answer(*fields))
+        PlatformCalls().parse_response(answer(*fields))
         assert lines == []
 
 
 class TestNames:
     def test_are_logged_without_their_values_and_cut(self, lines):
-        PlatformCalls().read_answer(answer((b"X" * 10_000, b"secret")))
+        PlatformCalls().parse_response(answer((b"X" * 10_000, b"secret")))
         assert "secret" not in json.dumps(lines)
         assert len(str(lines[0]["field"])) < 100
 
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -17,7 +17,7 @@
     PutRouteTable,
 )
 from leadhollow.failure import Failure
-from leadhollow.forward.dialect import Dispatch
+from leadhollow.forward.dialect import DispatchMetadata
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import Framing, RequestHead, ResponseHead
 from leadhollow.membership.instances import InstanceState
@@ -46,7 +46,7 @@
     def test_are_read(self):
         facts = (
             PlatformCalls()
-            .read_call(
+            .parse_request(
                 head(
                     X_Attempt_Id="abc",
                     X_Deadline_Ms="6077",
@@ -70,7 +70,7 @@
         assert facts.key == "secret"
 
     def test_without_any_field_are_plain(self):
-        facts = PlatformCalls().read_call(head()).unwrap()
+        facts = PlatformCalls().parse_request(head()).unwrap()
         assert (facts.deadline_ms, facts.key, facts.model, facts.last_event_id) == (
             None,
             "",
@@ -83,7 +83,7 @@
         [{"X_Deadline_Ms": "soon"}, {"X_Token_Usage": "many,few"}, {"Last_Event_Id": "first"}],
     )
     def test_that_cannot_be_understood_are_refused(self, fields):
-        failure = PlatformCalls().read_call(head(**fields)).unwrap_err()
+        failure = PlatformCalls().parse_request(head(**fields)).unwrap_err()
         assert failure.code is Code.REQUEST_MALFORMED
 
 
@@ -101,9 +101,9 @@
             X_Hop="one",
             Content_Length="3",
         )
-        fields = PlatformCalls().dispatched(
+        fields = PlatformCalls().dispatch_headers(
             sent,
-            Dispatch(
+            DispatchMetadata(
                 deadline_ms=1500.7,
                 instance="i-1",
                 organisation="group",
@@ -122,8 +122,8 @@
             assert fields.get(dropped) is None
 
     def test_without_a_group_names_none(self):
-        dispatch = Dispatch(deadline_ms=1.0, instance="i-1", organisation=None)
-        fields = PlatformCalls().dispatched(head(X_Tenant="forged"), dispatch)
+        dispatch = DispatchMetadata(deadline_ms=1.0, instance="i-1", organisation=None)
+        fields = PlatformCalls().dispatch_headers(head(X_Tenant="forged"), dispatch)
         assert fields.get(b"x-tenant") is None
 
 
@@ -137,7 +137,7 @@
             ]
         )
         answer = ResponseHead(status=200, reason=b"OK", headers=headers, framing=Framing.LENGTH)
-        facts = PlatformCalls().read_answer(answer)
+        facts = PlatformCalls().parse_response(answer)
         assert (facts.attempt_id, facts.signed, facts.not_executed, facts.instance) == (
             "abc",
             True,
@@ -148,7 +148,7 @@
     def test_that_were_not_executed_say_so(self):
         headers = Headers(items=[(b"X-Not-Executed", b"1")])
         answer = ResponseHead(status=503, reason=b"", headers=headers, framing=Framing.LENGTH)
-        assert PlatformCalls().read_answer(answer).not_executed
+        assert PlatformCalls().parse_response(answer).not_executed
 
 
 ROUTE = {
@@ -421,7 +421,7 @@
             status=503, reason=b"", headers=Headers(items=fields), framing=Framing.LENGTH
         )
         for _ in range(3):  # as often as it comes
-            facts = calls.read_answer(answer)
+            facts = calls.parse_response(answer)
         return facts
 
     @pytest.mark.parametrize(
@@ -460,7 +460,7 @@
         status=status, reason=b"", headers=Headers(items=fields), framing=Framing.LENGTH
     )
     for _ in range(3):
-        facts = calls.read_answer(answer)
+        facts = calls.parse_response(answer)
     return facts
 
 
@@ -514,5 +514,5 @@
         assert (facts.rest_s, facts.leaving) == (3.0, True)
 
     def test_is_ours_and_not_the_callers(self):
-        assert read_repeatedly(503, (b"Retry-After", b"3")).ours == {b"retry-after"}
-        assert read_repeatedly(429, (b"Retry-After", b"3")).ours == frozenset()
+        assert read_repeatedly(503, (b"Retry-After", b"3")).internal_fields == {b"retry-after"}
+        assert read_repeatedly(429, (b"Retry-After", b"3")).internal_fields == frozenset()
