--- a/src/leadhollow/forward/__init__.py
+++ b/src/leadhollow/forward/__init__.py
@@ -1,1 +1,1 @@
-"""Forwards callers' requests to backend servers that are reached directly."""
+"""Data path of an entry: forwards callers' requests to backend servers over direct connections."""
--- a/src/leadhollow/forward/buffered_response.py
+++ b/src/leadhollow/forward/buffered_response.py
@@ -1,4 +1,4 @@
-"""Answers of plain services, taken whole before they are passed on where they are short."""
+"""Buffers responses of plain services, so that a short one can be retried before it is relayed."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from leadhollow.forward.exchange import AttemptFailure, Exchange
 from leadhollow.http1.messages import ResponseHead
 
-HELD_BYTES = 256 * 1024  # answers up to it are taken whole
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class BufferedResponse:
-    """An answer taken whole, or its beginning where it is long."""
+    """A response with its complete body, or with the beginning of a long body."""
 
-    __slots__ = ("data", "exchange", "complete")
+    __slots__ = ("complete", "data", "exchange")
 
     def __init__(self, *, exchange: Exchange, data: bytes, complete: bool) -> None:
         self.exchange = exchange
@@ -26,31 +26,31 @@
 
     @property
     def head(self) -> ResponseHead:
-        """Head of the answer."""
+        """Head of the response."""
         return self.exchange.response.head
 
     @property
     def successful(self) -> bool:
-        """Whether it is a success that bears the server's signature."""
+        """Whether the response reports success and is signed by the server."""
         return self.head.status < HTTPStatus.BAD_REQUEST and self.exchange.metadata.signed
 
     @property
     def server_error(self) -> bool:
-        """Whether the server says that it failed at the request itself."""
+        """Whether the server reports that it failed to process the request."""
         return self.head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
 
 
 async def buffer_response(exchange: Exchange) -> Result[BufferedResponse, Failure]:
-    """Take an answer whole, or its beginning where it is long.
+    """Read the body of a response, and stop after more than ``MAX_BUFFERED_BYTES``.
 
     Errors
     ------
     PEER_LOST
-        It broke off.
+        The connection broke before the end of the body.
     """
     parts: list[bytes] = []
     size = 0
-    while size <= HELD_BYTES:
+    while size <= MAX_BUFFERED_BYTES:
         read = await exchange.read()
         if read.is_err():
             return Err(read.unwrap_err())
@@ -65,7 +65,7 @@
 async def first_successful(
     tasks: set[asyncio.Task[Result[BufferedResponse, AttemptFailure]]],
 ) -> Result[BufferedResponse, AttemptFailure]:
-    """Wait for the first good answer, else for the last of the others."""
+    """Wait for the first successful response; if there is none, return the last result."""
     pending = set(tasks)
     ended: Result[BufferedResponse, AttemptFailure] | None = None
     while pending:
@@ -78,4 +78,4 @@
     return ended
 
 
-__all__ = ["WholeAnswer", "first_good", "take_whole"]
+__all__ = ["BufferedResponse", "buffer_response", "first_successful"]
--- a/src/leadhollow/forward/call.py
+++ b/src/leadhollow/forward/call.py
@@ -1,4 +1,4 @@
-"""One request of a caller, with everything that is known of it."""
+"""State of one caller's request while it is forwarded."""
 
 from __future__ import annotations
 
@@ -11,45 +11,45 @@
 
 
 class ForwardedCall:
-    """A request on its way to a backend server.
+    """A caller's request and the state of its forwarding.
 
     Parameters
     ----------
     received_s
-        Loop time at which its head was whole.
+        Loop time at which the head of the request was complete.
     organisation
-        Group of its caller; None on a public route.
+        Group of the caller; None on a public route.
     fingerprint
-        The same for all attempts of all clients at the same request.
+        Digest that all attempts of all callers at the same request share.
 
     Attributes
     ----------
     attempts
-        Backend servers that may have begun to work on it.
+        Number of sends after which a backend server may have begun to run the request.
     sends
-        Times that it was sent, refused ones included.
-    engine
-        Backend server that was asked last; empty before.
-    last_heard_at_s
-        Loop time at which it was asked, or was last heard from.
+        Number of times the request was sent, including sends that were refused.
+    last_instance
+        Instance name of the backend server that got the request last; empty before the first send.
+    last_contact_s
+        Loop time at which the request was last sent, or bytes of a response last arrived.
     """
 
     __slots__ = (
         "attempts",
         "body",
         "deadline_s",
-        "last_instance",
-        "metadata",
         "fingerprint",
         "head",
-        "stalled_before_s",
         "last_contact_s",
+        "last_instance",
+        "metadata",
         "organisation",
         "received_s",
         "reply",
         "route",
         "sends",
         "service",
+        "stalled_before_s",
         "suspended_s",
     )
 
@@ -87,41 +87,41 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's name of this attempt."""
+        """Attempt id that the caller assigned."""
         return self.metadata.attempt_id
 
     @property
     def timeout_s(self) -> float:
-        """Loop time at which the route's timeout ends."""
+        """Loop time at which the route's timeout expires."""
         return self.received_s + self.route.timeout_ms / 1000
 
     @property
     def objective_s(self) -> float:
-        """Loop time until which an answer is on time."""
+        """Loop time until which a response is on time."""
         return self.received_s + self.route.objective_ms / 1000
 
     @property
     def rank(self) -> int:
-        """Urgency, 0 first; that of its group goes before that of its route."""
+        """Priority, 0 first; the priority of the group overrides that of the route."""
         if self.organisation is not None and self.organisation.priority is not None:
             return self.organisation.priority
         return self.route.priority
 
     def record_dispatch(self, instance: str) -> None:
-        """Note that a backend server is sent the request now."""
+        """Record that the request is sent to a backend server now."""
         self.last_instance = instance
         self.last_contact_s = clocks.steady_s()
 
     def silent_s(self) -> float:
-        """Give the time since the backend server was asked or last heard from."""
+        """Return the time since the request was last sent or bytes of a response last arrived."""
         return clocks.steady_s() - self.last_contact_s
 
     def stalled_s(self) -> float:
-        """Give the time for which this process was held up since the request came."""
+        """Return for how long the event loop has stalled since the request was received."""
         return active_time.clock().stalled_s() - self.stalled_before_s
 
     def remaining_ms(self) -> float:
-        """Give what is left of the caller's time, which went on while this machine did not."""
+        """Return the caller's remaining time; time in which this machine was suspended counts."""
         suspended_s = clocks.suspended_s() - self.suspended_s
         return (self.deadline_s - clocks.steady_s() - suspended_s) * 1000
 
@@ -133,7 +133,7 @@
         last_event_id: int | None = None,
         urgency: int | None = None,
     ) -> DispatchMetadata:
-        """Make what a backend server is told beside the request."""
+        """Build the metadata that is sent to a backend server along with the request."""
         return DispatchMetadata(
             deadline_ms=max(1.0, self.remaining_ms()),
             instance=instance,
--- a/src/leadhollow/forward/caller_listener.py
+++ b/src/leadhollow/forward/caller_listener.py
@@ -1,4 +1,4 @@
-"""Listener for callers: each request is checked against the route table and forwarded."""
+"""HTTP listener for callers: checks each request against the route table and forwards it."""
 
 from __future__ import annotations
 
@@ -29,33 +29,33 @@
 from leadhollow.routing.model import Organisation, Route
 from leadhollow.settings.address import Address
 
-STOP_MARGIN_S = 0.7  # of the grace: time to close and to exit before SIGKILL
-BALANCER_NOTICE_S = 2.8
-"""Two missed looks of the balancer, a second apart, and some more. What is taken later might not
-end within the grace that a stop gets."""
+STOP_MARGIN_S = 0.7  # end of the grace period, reserved to close and exit before SIGKILL
+BALANCER_DELAY_S = 2.8
+"""Time in which the load balancer notices that the entry is not ready: two failed checks, a second
+apart, and a margin. Requests that are accepted later might not end within the grace period."""
 
 log = get_logger("callers")
 
 
 class CallerListener(TaskService):
-    """Serves callers on one entry.
+    """Listens for callers on one entry.
 
     Parameters
     ----------
     stop_grace_s
-        Time from the request to stop until the process is killed.
+        Time from the stop signal until the process is killed.
     seed
-        Seed of the times after which refused callers should come back.
+        Seed of the random part of retry times for refused callers.
     """
 
     __slots__ = (
         "_chooser",
         "_closed",
-        "_cutting",
+        "_closing_connections",
         "_dialect",
-        "_ending",
         "_plain",
         "_random",
+        "_responder",
         "_routes",
         "_server",
         "_stop_grace_s",
@@ -84,33 +84,33 @@
         self._plain = plain
         self._streams = streams
         self._suspects = suspects
-        self._ending = responder
+        self._responder = responder
         self._stop_grace_s = stop_grace_s
         self._random = random.Random(seed)
         self._server = HttpServer(address=address, handler=self._handle, limits=self._limits)
         self.stopping = False
         self._closed = False
-        self._cutting = False
+        self._closing_connections = False
         super().__init__()
 
     async def start(self) -> Result[None, Failure]:
-        """Open the listener."""
+        """Start listening."""
         return await self._server.start()
 
     async def drain(self) -> None:
-        """Serve on until the balancer sends nobody any more, then finish what runs."""
+        """Keep serving until the load balancer sends no more requests, then finish running ones."""
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        start_s = loop.time()
         self.stopping = True
         self._server.announce_close()
-        await asyncio.sleep(BALANCER_NOTICE_S)
+        await asyncio.sleep(BALANCER_DELAY_S)
         self._closed = True
         self._server.stop_accepting()
-        await self._server.wait_idle(began_s + self._stop_grace_s - STOP_MARGIN_S)
+        await self._server.wait_idle(start_s + self._stop_grace_s - STOP_MARGIN_S)
 
     async def stop(self) -> None:
-        """Close the listener and all connections."""
-        self._cutting = True
+        """Stop listening and close all connections."""
+        self._closing_connections = True
         await self._server.stop()
 
     def _limits(self) -> HttpLimits:
@@ -135,18 +135,18 @@
         try:
             await self._forward(call)
         except asyncio.CancelledError:
-            if self._cutting:
-                self._ending.stopped(call)
+            if self._closing_connections:
+                self._responder.stopped(call)
             else:
-                self._ending.caller_left(call)
+                self._responder.caller_left(call)
             raise
         except Exception:
-            log.exception("request ended by an error", request=call.request_id)
+            log.exception("request failed with an exception", request=call.request_id)
             raise
 
     async def _forward(self, call: ForwardedCall) -> None:
         if self._suspects.quarantine.is_quarantined(call):
-            await self._ending.quarantined(call)
+            await self._responder.quarantined(call)
             return
         service = self._routes.services.get(call.service)
         if service is not None and service.engine is not None:
@@ -157,20 +157,20 @@
     async def _check(
         self, request: IncomingRequest, reply: ReplyWriter
     ) -> Result[ForwardedCall, Failure]:
-        """Find out what is asked, by whom, and whether the route table allows it."""
+        """Parse the request, and find its route and the group of its caller."""
         read = self._dialect.parse_request(request.head)
         if read.is_err():
             return Err(read.unwrap_err())
-        facts = read.unwrap()
+        metadata = read.unwrap()
         if not self._routes.has_table:
             return Err(Failure(code=Code.STOPPING, detail="no route table is known here yet"))
         host = request.head.headers.text(b"host").partition(":")[0]
         route = self._routes.route(host, request.head.path)
         if route is None:
             return Err(Failure(code=Code.SERVICE_UNKNOWN, detail="no route leads there"))
-        known = self._organisation(route, facts)
-        if known.is_err():
-            return Err(known.unwrap_err())
+        found = self._organisation(route, metadata)
+        if found.is_err():
+            return Err(found.unwrap_err())
         body = RequestBody(
             head=request.head,
             incoming=request.body,
@@ -179,11 +179,11 @@
         collected = await body.collect()
         if collected.is_err():
             return Err(collected.unwrap_err())
-        organisation = known.unwrap()
+        organisation = found.unwrap()
         call = ForwardedCall(
             head=request.head,
             body=body,
-            metadata=facts,
+            metadata=metadata,
             route=route,
             service=self._chooser.choose(route),
             organisation=organisation,
@@ -199,11 +199,11 @@
         return Ok(call)
 
     def _organisation(
-        self, route: Route, facts: RequestMetadata
+        self, route: Route, metadata: RequestMetadata
     ) -> Result[Organisation | None, Failure]:
         if route.public or not self._routes.keyed:
             return Ok(None)
-        organisation = self._routes.organisation(facts.key) if facts.key else None
+        organisation = self._routes.organisation(metadata.key) if metadata.key else None
         if organisation is None:
             return Err(Failure(code=Code.KEY_UNKNOWN))
         return Ok(organisation)
--- a/src/leadhollow/forward/dialect.py
+++ b/src/leadhollow/forward/dialect.py
@@ -1,4 +1,7 @@
-"""What the product asks of the interface between callers, entries and backend servers."""
+"""Interface that reads and writes the HTTP metadata of callers, entries and backend servers.
+
+A deployment implements `CallDialect` for its own header names.
+"""
 
 from __future__ import annotations
 
@@ -12,26 +15,26 @@
 
 
 class RequestMetadata:
-    """What a caller says of its request.
+    """Metadata that a caller sends with its request.
 
     Parameters
     ----------
     attempt_id
-        The caller's name of this attempt; empty where it gave none.
+        Id that the caller assigned to this attempt; empty if it assigned none.
     deadline_ms
-        How long the caller waits from now on; None where it does not say.
+        How long the caller waits from now on; None if it does not state it.
     key
-        The caller's key; empty where it sent none.
+        The caller's key; empty if it sent none.
     model
-        Model that shall answer; empty for a plain service.
+        Requested model; empty for a plain service.
     prompt_tokens, output_tokens
-        Size of the prompt, and the most that may be generated.
+        Size of the prompt, and the maximum number of tokens to generate.
     output_hint_tokens
-        The caller's guess of what will be generated; None where it gave none.
+        The caller's estimate of the generated tokens; None if it gave none.
     prefix_ids
-        Names of the prompt's parts in order.
+        Ids of the prompt's prefix parts in order.
     last_event_id
-        Event of the stream after which to go on; None from the beginning.
+        Event after which the stream is to resume; None to start at the beginning.
     """
 
     __slots__ = (
@@ -71,27 +74,27 @@
 
 
 class DispatchMetadata:
-    """What an entry adds to a request for a backend server.
+    """Metadata that an entry adds to a request for a backend server.
 
     Parameters
     ----------
     deadline_ms
-        What is left of the caller's time.
+        Remaining time of the caller.
     instance
-        Incarnation that the request is meant for; any other one refuses it.
+        Name of the instance that the request is meant for; any other instance refuses it.
     organisation
         Group of the caller; None on a public route.
     version
-        Weights that must answer; None where any may.
+        Version of the weights that must serve the request; None if any may.
     last_event_id
-        Event after which the stream goes on; None from the beginning.
+        Event after which the stream resumes; None from the beginning.
     urgency
-        0 goes first, 9 last; None leaves the usual place.
+        Priority from 0 (first) to 9 (last); None for the default.
 
     Attributes
     ----------
     connect_s
-        Time until there was a connection.
+        Time that it took to get a connection.
     """
 
     __slots__ = (
@@ -124,40 +127,42 @@
 
 
 class ResponseMetadata:
-    """What a backend server says of its answer.
+    """Metadata of a backend server's response.
 
     Parameters
     ----------
     attempt_id
-        Attempt that it answers; None where it does not say.
+        Attempt that the response belongs to; None if it does not state it.
     signed
-        Whether it bears the backend server's signature.
+        Whether the backend server signed the response.
     not_executed
-        Whether the backend server says that the request did not run and never will.
+        Whether the backend server states that the request did not run and never will.
     instance
-        Incarnation that answered, where it says so.
+        Name of the instance that responded; None if it is not stated.
     limit_per_s
-        Requests a second that it takes from all entries together; None where it names no limit.
+        Requests per second that the server takes from all entries together; None if it states no
+        limit.
     limit_malformed
-        Whether it names a limit that cannot be understood, so that what it said before holds.
+        Whether the stated limit cannot be parsed, so that the previous one stays in force.
     leaving
-        Whether it says that it is about to end and wants no more requests.
+        Whether the server is about to end and wants no more requests.
     rest_s
-        Time for which it wants no more requests from this VM; None where it asks for no rest.
+        Back-off: time for which the server wants no more requests from this VM; None if it asks for
+        none.
     rest_malformed
-        Whether it asks for a rest that cannot be understood, so that what it said before holds.
-    ours
-        Names of fields that are meant for this VM and not for the caller.
+        Whether the back-off cannot be parsed, so that the previous one stays in force.
+    internal_fields
+        Names of header fields that are meant for this VM and not for the caller.
     """
 
     __slots__ = (
         "attempt_id",
         "instance",
+        "internal_fields",
         "leaving",
         "limit_malformed",
         "limit_per_s",
         "not_executed",
-        "internal_fields",
         "rest_malformed",
         "rest_s",
         "signed",
@@ -190,29 +195,29 @@
 
 
 class CallDialect(Protocol):
-    """How requests and answers look on the wire."""
+    """Reads and writes the metadata of requests and responses."""
 
     def parse_request(self, head: RequestHead) -> Result[RequestMetadata, Failure]:
-        """Decode what a caller says.
+        """Parse the metadata of a caller's request.
 
         Errors
         ------
         REQUEST_MALFORMED
-            A field cannot be understood.
+            A field cannot be parsed.
         """
         ...
 
     def dispatch_headers(self, head: RequestHead, dispatch: DispatchMetadata) -> Headers:
-        """Give the fields that a backend server gets, without those that frame the body."""
+        """Return the header fields for a backend server, without those that frame the body."""
         ...
 
     def parse_response(self, head: ResponseHead) -> ResponseMetadata:
-        """Decode what a backend server says."""
+        """Parse the metadata of a backend server's response."""
         ...
 
     def error_headers(self, failure: Failure, retry_after_s: float | None) -> Headers:
-        """Give the fields of an answer of our own."""
+        """Return the header fields of an error response that the entry itself sends."""
         ...
 
 
-__all__ = ["AnswerFacts", "CallDialect", "CallFacts", "Dispatch"]
+__all__ = ["CallDialect", "DispatchMetadata", "RequestMetadata", "ResponseMetadata"]
--- a/src/leadhollow/forward/end_reason.py
+++ b/src/leadhollow/forward/end_reason.py
@@ -1,4 +1,4 @@
-"""Why requests end without the whole answer of a backend server."""
+"""Reasons why a request ended without a complete response of a backend server."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EndReason(Enum):
-    """Why a request ended without the whole answer of a backend server; the list is closed."""
+    """Why a request ended without a complete response; every such request has one of these."""
 
     NOT_TAKEN = "no backend server took it"
     ENGINE_ENDED = "its backend server ended it"
--- a/src/leadhollow/forward/engine_placement.py
+++ b/src/leadhollow/forward/engine_placement.py
@@ -1,4 +1,4 @@
-"""Waits for the places that the queue gives to requests."""
+"""Waits until the queue has placed a request at an engine or refused it."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 from leadhollow.kernel.active_time import deadline_at
 
 
-async def wait_for_placement(queue: EngineQueue, wish: EngineRequest) -> Result[Placement, Failure]:
-    """Find a place for a request, or refuse it in time.
+async def wait_for_placement(
+    queue: EngineQueue, request: EngineRequest
+) -> Result[Placement, Failure]:
+    """Submit a request to the queue and wait until it is placed or refused.
 
     Errors
     ------
     NO_CAPACITY
-        No engine can answer in time; nothing was sent.
+        No engine can respond in time; nothing was sent.
     """
-    waiter = queue.submit(wish)
+    waiter = queue.submit(request)
     try:
         while not waiter.ended:
             await _wait(queue, waiter)
@@ -34,14 +36,14 @@
 
 
 async def _wait(queue: EngineQueue, waiter: Waiter) -> None:
-    """Wait for an end, or for the time at which the queue looks at the request again."""
+    """Wait until the request is placed or refused, or the queue has to check it again."""
     ended = asyncio.Event()
     waiter.on_end = ended.set
     try:
         async with deadline_at(waiter.deadline_s):
             await ended.wait()
     except TimeoutError:
-        queue.on_deadline(waiter)  # it may have ended in the same turn of the loop
+        queue.on_deadline(waiter)  # the waiter may have ended in the same iteration of the loop
 
 
 __all__ = ["wait_for_placement"]
--- a/src/leadhollow/forward/engine_request_factory.py
+++ b/src/leadhollow/forward/engine_request_factory.py
@@ -1,4 +1,4 @@
-"""What a stream asks of an engine, by what is known of its call."""
+"""Builds the engine request that the queue places for the next attempt of a stream."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from leadhollow.forward.call import ForwardedCall
 from leadhollow.routing.model import Route, ServiceRecord
 
-RESUME_WAIT_S = 0.3  # how long a broken stream may look for an engine without being late for it
+RESUME_WAIT_S = 0.3  # how long an interrupted stream may wait for an engine
 
 CALLER_GAP_S = 2.0
 CALLER_GAP_OBJECTIVES = 4
 CALLER_GAP_PAUSES = 8
-"""A caller gives a stream up after the longest of these without an event: a time, and multiples of
-its route's objective and of the pause that the route calls on time."""
+"""A caller gives up a stream after the longest of these times without an event: ``CALLER_GAP_S``,
+and multiples of its route's objective and of the pause that the route calls on time."""
 
-LAST_RESUME_S = 0.2  # before that, an engine could hardly bring the next event in time
+MIN_RESUME_S = 0.2  # an engine can hardly deliver the next event in less time
 
 
 def make_engine_request(
@@ -23,30 +23,30 @@
     service: ServiceRecord,
     *,
     now_s: float,
-    came_back: bool,
+    is_caller_retry: bool,
     last_event_s: float | None,
     excluded: set[str],
     lost_domains: set[str],
 ) -> EngineRequest:
-    """Make the wish of a stream's next attempt.
+    """Build the engine request for the next attempt of a stream.
 
     Parameters
     ----------
-    came_back
-        Whether its caller was refused before.
+    is_caller_retry
+        Whether the caller retries a request that was refused before.
     last_event_s
-        Loop time at which the caller got its last event; None where it has got none.
+        Loop time at which the caller got its last event; None if it has got none.
     excluded
-        Incarnations that must not be tried again.
+        Names of instances that must not be tried again.
     lost_domains
-        Failure domains in which an engine broke it off.
+        Failure domains in which an engine broke off the stream.
     """
     objective_s = call.route.objective_ms / 1000
     if call.sends:
         standing = QueuePriority.RESUMED
         decide_s = now_s + RESUME_WAIT_S
     else:
-        standing = QueuePriority.CAME_BACK if came_back else QueuePriority.NEW
+        standing = QueuePriority.CAME_BACK if is_caller_retry else QueuePriority.NEW
         decide_s = call.received_s + objective_s * DECISION_DEADLINE_SHARE
     decide_s = min(decide_s, call.deadline_s)
     hold_s = decide_s
@@ -54,12 +54,12 @@
         hold_s += HOLD_SHARE * (call.deadline_s - decide_s)
     if last_event_s is not None:
         caller_leaves_s = min(call.deadline_s, last_event_s + _caller_gap_s(call.route))
-        hold_s = max(decide_s, caller_leaves_s - LAST_RESUME_S)
+        hold_s = max(decide_s, caller_leaves_s - MIN_RESUME_S)
     return EngineRequest(
         service=service,
         model=call.metadata.model,
         prompt_tokens=call.metadata.prompt_tokens,
-        output_tokens=_expected_output(call),
+        output_tokens=_expected_output_tokens(call),
         objective_s=objective_s,
         on_time_until_s=call.objective_s if last_event_s is None else now_s + objective_s,
         decide_by_s=decide_s,
@@ -75,7 +75,7 @@
 
 
 def _caller_gap_s(route: Route) -> float:
-    """Give the time without an event after which callers of a route leave."""
+    """Return the time without an event after which callers of a route give up."""
     return max(
         CALLER_GAP_S,
         CALLER_GAP_OBJECTIVES * route.objective_ms / 1000,
@@ -83,10 +83,10 @@
     )
 
 
-def _expected_output(call: ForwardedCall) -> float:
+def _expected_output_tokens(call: ForwardedCall) -> float:
     if call.metadata.output_hint_tokens is not None:
         return min(call.metadata.output_hint_tokens, float(call.metadata.output_tokens))
     return float(call.metadata.output_tokens)
 
 
-__all__ = ["stream_wish"]
+__all__ = ["make_engine_request"]
--- a/src/leadhollow/forward/events.py
+++ b/src/leadhollow/forward/events.py
@@ -1,21 +1,21 @@
-"""Whole events of a stream (``text/event-stream``), and where a stream stands."""
+"""Splits a ``text/event-stream`` body into complete events and reads their ids."""
 
 from __future__ import annotations
 
 EVENT_END = b"\n\n"
-CARRIAGE_EVENT_END = b"\r\n\r\n"
-LARGEST_EVENT_BYTES = 1024 * 1024
+CRLF_EVENT_END = b"\r\n\r\n"
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class Event:
-    """One whole event.
+    """One complete event of a stream.
 
     Parameters
     ----------
     data
-        Its bytes as they came, the blank line included.
+        Raw bytes of the event, including the blank line that ends it.
     event_id
-        Its number; None where it has none.
+        Numeric id; None if the event has none.
     """
 
     __slots__ = ("data", "event_id")
@@ -26,26 +26,26 @@
 
 
 class EventSplitter:
-    """Cuts bytes into whole events; what is no whole event yet is kept back."""
+    """Splits a byte stream into complete events and buffers the incomplete rest."""
 
     __slots__ = ("_buffer", "_searched")
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._searched = 0  # bytes in which no event ends
+        self._searched = 0  # length of the buffer's prefix that contains no event end
 
     @property
     def remainder(self) -> bytes:
-        """Bytes of an event that is not whole."""
+        """Buffered bytes of an incomplete event."""
         return bytes(self._buffer)
 
     @property
     def buffered_bytes(self) -> int:
-        """How many these are."""
+        """Number of buffered bytes."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and give the events that they complete."""
+        """Add bytes and return the events that they complete."""
         buffer = self._buffer
         buffer += data
         events = []
@@ -54,15 +54,16 @@
             del buffer[:end]
             self._searched = 0
             events.append(Event(data=part, event_id=_event_id(part)))
-        self._searched = max(0, len(buffer) - len(CARRIAGE_EVENT_END) + 1)
+        self._searched = max(0, len(buffer) - len(CRLF_EVENT_END) + 1)
         return events
 
 
-def _event_end(buffer: bytearray, from_byte: int) -> int:
+def _event_end(buffer: bytearray, start: int) -> int:
+    """Return the offset behind the first event end at or after ``start``; -1 if there is none."""
     ends = [
-        position + len(mark)
-        for mark in (EVENT_END, CARRIAGE_EVENT_END)
-        if (position := buffer.find(mark, from_byte)) >= 0
+        position + len(terminator)
+        for terminator in (EVENT_END, CRLF_EVENT_END)
+        if (position := buffer.find(terminator, start)) >= 0
     ]
     return min(ends, default=-1)
 
@@ -75,4 +76,4 @@
     return None
 
 
-__all__ = ["LARGEST_EVENT_BYTES", "Event", "EventSplitter"]
+__all__ = ["MAX_EVENT_BYTES", "Event", "EventSplitter"]
--- a/src/leadhollow/forward/exchange.py
+++ b/src/leadhollow/forward/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt at one backend server: the request is sent, and its own answer found."""
+"""Client for backend servers: sends one attempt of a request and finds its response."""
 
 from __future__ import annotations
 
@@ -22,28 +22,27 @@
 from leadhollow.kernel import active_time, clocks
 from leadhollow.observe.logs import get_logger
 
-MOST_STRAY_ANSWERS = 4
-SILENT_S = 0.3
-"""Without an answer, on a connection that was used before: connections of the same age may have
-gone silent together, as behind a device that forgot them."""
-
+MAX_STRAY_RESPONSES = 4
+SILENT_CONNECTION_S = 0.3
+"""After this time without a response on a reused connection, all idle connections to the server are
+closed: they may all be dead, for example after a NAT device dropped their state."""
 
 log = get_logger("exchange")
 
 
 class AttemptEnd(Enum):
-    """What is known of an attempt that gave no answer to pass on."""
+    """How an attempt ended that yielded no response to relay."""
 
     NOT_SENT = "not-sent"
     WITHHELD = "withheld"
-    """What the backend server says of itself left no room; nothing was sent, and it is not ill."""
+    """The server is leaving, backing off or at its limit; nothing was sent, its health is fine."""
 
     NOT_EXECUTED = "not-executed"
     UNKNOWN = "unknown"
 
 
 class AttemptFailure:
-    """Why an attempt gave no answer, and whether the request may have run."""
+    """Why an attempt yielded no response, and whether the request may have run."""
 
     __slots__ = ("end", "failure", "status")
 
@@ -54,14 +53,14 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the backend server may have begun to work on it."""
+        """Whether the backend server may have begun to run the request."""
         return self.end is AttemptEnd.UNKNOWN
 
 
 class Exchange:
-    """An answer that belongs to the request, with the connection it comes on."""
+    """The response to a request and the connection on which it arrives."""
 
-    __slots__ = ("_connection", "_pool", "_sender", "address", "response", "closed", "metadata")
+    __slots__ = ("_connection", "_pool", "_sender", "address", "closed", "metadata", "response")
 
     def __init__(
         self,
@@ -83,15 +82,15 @@
 
     @property
     def status(self) -> int:
-        """Status of the answer."""
+        """Status of the response."""
         return self.response.head.status
 
     async def read(self) -> Result[bytes, Failure]:
-        """Give the next bytes of the answer's body; ``b""`` at its end."""
+        """Return the next bytes of the response's body; ``b""`` at its end."""
         return await self.response.body.read()
 
     def finish(self) -> None:
-        """Give the connection back, where request and answer are both whole."""
+        """Return the connection to the pool if request and response are complete, else close it."""
         if self.closed:
             return
         self.closed = True
@@ -102,7 +101,7 @@
             self._stop()
 
     def abort(self) -> None:
-        """Break the connection, so that the backend server stops to work."""
+        """Close the connection, so that the backend server stops working on the request."""
         if not self.closed:
             self.closed = True
             self._stop()
@@ -114,36 +113,37 @@
 
 
 class ResponseListener(Protocol):
-    """Hears of every answer, whatever its status, what its server says of itself."""
+    """Receives the metadata of every response, whatever its status."""
 
     def record_response(
         self,
         server: Server,
-        facts: ResponseMetadata,
+        metadata: ResponseMetadata,
         *,
         sent_s: float | None,
         call: OwnCall | None,
     ) -> None:
-        """Take what an answer says of its server.
+        """Record what a response says about its server.
 
         Parameters
         ----------
         sent_s
-            When its request was sent, by the clock with suspensions; None where that is not known,
-            or was of no use then.
+            When the request was sent, by the clock that includes suspensions; None if that is
+            unknown or was not recorded.
         call
-            Request that it answers; None where that is an earlier one on the connection.
+            Call that the response belongs to; None if it belongs to an earlier call on the
+            connection.
         """
         ...
 
 
 class BackendClient:
-    """Makes attempts; all requests to backend servers and all their answers pass here.
+    """Sends attempts; all requests to backend servers and all their responses pass through it.
 
     Parameters
     ----------
     listeners
-        Hear what each answer says of its server, before anybody else reads it.
+        Receive the metadata of each response before anything else reads it.
     """
 
     __slots__ = ("_dialect", "_listeners", "_pool", "stray_responses")
@@ -168,14 +168,14 @@
         fresh: bool,
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> Result[Exchange, AttemptFailure]:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the head of its response.
 
-        Cancelling this breaks the connection.
+        Cancellation closes the connection.
         """
-        began_s = asyncio.get_running_loop().time()
+        start_s = asyncio.get_running_loop().time()
         address = server.instance.address
         acquired = await self._pool.acquire(address, fresh=fresh, timeout_s=connect_timeout_s)
-        dispatch.connect_s = asyncio.get_running_loop().time() - began_s
+        dispatch.connect_s = asyncio.get_running_loop().time() - start_s
         if acquired.is_err():
             failure = acquired.unwrap_err()
             return Err(AttemptFailure(end=AttemptEnd.NOT_SENT, failure=failure))
@@ -186,7 +186,7 @@
             failure = Failure(code=withheld, detail=server.instance.instance)
             return Err(AttemptFailure(end=AttemptEnd.WITHHELD, failure=failure))
         limited_sent_s = None if server.send_limiter is None else clocks.elapsed_s()
-        sent_s = active_time.active_s()
+        sent_s = active_time.heard_s()
         exchange: Exchange | None = None
         sender: asyncio.Task[Result[None, Failure]] | None = None
         try:
@@ -199,19 +199,19 @@
                 await body.send(connection)
             else:
                 sender = asyncio.get_running_loop().create_task(body.send(connection))
-            found = await self._own_answer(
+            found = await self._own_response(
                 connection, server, attempt_id, sent_s=limited_sent_s, call=own_call
             )
             if found.is_err():
                 failure = found.unwrap_err()
                 return Err(AttemptFailure(end=AttemptEnd.UNKNOWN, failure=failure))
-            answer, facts = found.unwrap()
+            response, metadata = found.unwrap()
             exchange = Exchange(
                 address=address,
                 connection=connection,
                 pool=self._pool,
-                response=answer,
-                metadata=facts,
+                response=response,
+                metadata=metadata,
                 sender=sender,
             )
             return Ok(exchange)
@@ -219,17 +219,21 @@
             if exchange is None:
                 if sender is not None:
                     sender.cancel()
-                self._note_silence(address, connection, sent_s)
+                self._check_silence(address, connection, sent_s)
                 connection.close()
 
-    def _note_silence(self, address: str, connection: ClientConnection, sent_s: float) -> None:
-        """Close the idle connections to a server that was silent on one of them."""
-        silent_s = active_time.active_s() - sent_s
-        if connection.exchanges > 1 and connection.usable and silent_s > SILENT_S:
-            log.info("idle connections closed", address=address, silent_s=round(silent_s, 2))
+    def _check_silence(self, address: str, connection: ClientConnection, sent_s: float) -> None:
+        """Close the idle connections to a server if it was silent on a reused connection."""
+        silent_s = active_time.heard_s() - sent_s
+        if connection.exchanges > 1 and connection.usable and silent_s > SILENT_CONNECTION_S:
+            log.info(
+                "closed idle connections to a silent server",
+                address=address,
+                silent_s=round(silent_s, 2),
+            )
             self._pool.close_idle(address)
 
-    async def _own_answer(
+    async def _own_response(
         self,
         connection: ClientConnection,
         server: Server,
@@ -238,58 +242,58 @@
         sent_s: float | None,
         call: OwnCall,
     ) -> Result[tuple[Answer, ResponseMetadata], Failure]:
-        """Find the answer to a request; those to earlier ones on the connection are skipped.
+        """Read responses until the one to this request, skipping those to earlier requests.
 
-        What these say of the server holds as well.
+        The listeners get the metadata of skipped responses too.
         """
-        for _ in range(MOST_STRAY_ANSWERS):
+        for _ in range(MAX_STRAY_RESPONSES):
             read = await connection.read_answer()
             if read.is_err():
                 return Err(read.unwrap_err())
-            answer = read.unwrap()
-            facts = self._dialect.parse_response(answer.head)
-            named = facts.attempt_id
+            response = read.unwrap()
+            metadata = self._dialect.parse_response(response.head)
+            named = metadata.attempt_id
             own = named is None or named == attempt_id or not attempt_id
             if own:
-                self._note(server, answer, facts, sent_s=sent_s, call=call)
+                self._notify(server, response, metadata, sent_s=sent_s, call=call)
             else:
-                self._note(server, answer, facts, sent_s=None, call=None)
+                self._notify(server, response, metadata, sent_s=None, call=None)
             if own:
-                return Ok((answer, facts))
+                return Ok((response, metadata))
             self.stray_responses += 1
-            log.warning("answer to another request dropped", named=named, expected=attempt_id)
-            if answer.head.framing is Framing.UNTIL_CLOSE:
+            log.warning("dropped the response to another request", named=named, expected=attempt_id)
+            if response.head.framing is Framing.UNTIL_CLOSE:
                 break
-            skipped = await _skip(answer)
+            skipped = await _skip(response)
             if skipped.is_err():
                 return Err(skipped.unwrap_err())
         connection.close()
         detail = "only answers to other requests came"
         return Err(Failure(code=Code.PEER_LOST, detail=detail))
 
-    def _note(
+    def _notify(
         self,
         server: Server,
-        answer: Answer,
-        facts: ResponseMetadata,
+        response: Answer,
+        metadata: ResponseMetadata,
         *,
         sent_s: float | None,
         call: OwnCall | None,
     ) -> None:
-        """Tell the listeners, unless it may be another incarnation that answered."""
-        if answer.head.status == HTTPStatus.MISDIRECTED_REQUEST and facts.instance is None:
+        """Notify the listeners, unless the response may come from an unnamed other instance."""
+        if response.head.status == HTTPStatus.MISDIRECTED_REQUEST and metadata.instance is None:
             return
         for listener in self._listeners:
-            listener.record_response(server, facts, sent_s=sent_s, call=call)
+            listener.record_response(server, metadata, sent_s=sent_s, call=call)
 
 
-async def _skip(answer: Answer) -> Result[None, Failure]:
+async def _skip(response: Answer) -> Result[None, Failure]:
     while True:
-        read = await answer.body.read()
+        read = await response.body.read()
         if read.is_err():
             return Err(read.unwrap_err())
         if not read.unwrap():
             return Ok(None)
 
 
-__all__ = ["AnswerListener", "AttemptEnd", "AttemptFailure", "Exchange", "Exchanger"]
+__all__ = ["AttemptEnd", "AttemptFailure", "BackendClient", "Exchange", "ResponseListener"]
--- a/src/leadhollow/forward/failure_response.py
+++ b/src/leadhollow/forward/failure_response.py
@@ -1,4 +1,4 @@
-"""How a request ends with an answer of our own."""
+"""Error responses that an entry itself sends, and log lines for requests that ended early."""
 
 from __future__ import annotations
 
@@ -14,66 +14,66 @@
 from leadhollow.forward.fingerprint import short_fingerprint
 from leadhollow.observe.logs import get_logger
 
-NOT_RUN_STATUS = HTTPStatus.SERVICE_UNAVAILABLE  # promises that the request has not run
-UNKNOWN_STATUS = HTTPStatus.BAD_GATEWAY  # promises nothing
-TIMEOUT_STATUS = HTTPStatus.GATEWAY_TIMEOUT  # promises nothing either
-QUARANTINE_RETRY_AFTER_S = 600.0  # a person has to look at it first
+NOT_RUN_STATUS = HTTPStatus.SERVICE_UNAVAILABLE  # guarantees that the request has not run
+UNKNOWN_STATUS = HTTPStatus.BAD_GATEWAY  # the request may have run
+TIMEOUT_STATUS = HTTPStatus.GATEWAY_TIMEOUT  # the request may have run
+QUARANTINE_RETRY_AFTER_S = 600.0  # an operator has to release the request first
 
 log = get_logger("ending")
 
 
 class FailureResponder:
-    """Writes answers of our own; what may have run is never called not run.
+    """Sends error responses; never states that a request has not run if it may have run.
 
     Attributes
     ----------
-    cut
-        Answers that had begun and were not finished, by the reason.
+    truncated
+        Number of responses that had started and were not completed, by reason.
     """
 
-    __slots__ = ("_dialect", "cut")
+    __slots__ = ("_dialect", "truncated")
 
     def __init__(self, *, dialect: CallDialect) -> None:
         self._dialect = dialect
-        self.cut: Counter[EndReason] = Counter()
+        self.truncated: Counter[EndReason] = Counter()
 
     async def not_run(
         self, call: ForwardedCall, failure: Failure, *, retry_after_s: float | None
     ) -> None:
-        """Say that the request has not run and never will, and when to come back."""
+        """Respond that the request has not run and never will, and when to retry."""
         if call.attempts:
             await self.unknown(call, failure)
             return
         await self._send(call, NOT_RUN_STATUS, failure, retry_after_s)
 
     async def unknown(self, call: ForwardedCall, failure: Failure) -> None:
-        """Say that the request failed and may have run."""
+        """Respond that the request failed and may have run."""
         await self._send(call, UNKNOWN_STATUS, failure, None)
 
     def broken_off(self, call: ForwardedCall, failure: Failure) -> None:
-        """Break an answer off whose backend server did not finish it."""
-        self._note(call, EndReason.ENGINE_ENDED, failure)
+        """Abort a response that its backend server did not complete."""
+        self._log_end(call, EndReason.ENGINE_ENDED, failure)
         call.reply.abort()
 
     def caller_left(self, call: ForwardedCall) -> None:
-        """Note a request whose caller closed its connection."""
-        self._note(call, EndReason.CALLER_LEFT)
+        """Log a request whose caller closed its connection."""
+        self._log_end(call, EndReason.CALLER_LEFT)
 
     def stopped(self, call: ForwardedCall) -> None:
-        """Note a request that this process could not finish before it had to stop."""
-        self._note(call, EndReason.STOPPED)
+        """Log a request that this process could not complete before it had to stop."""
+        self._log_end(call, EndReason.STOPPED)
 
     async def quarantined(self, call: ForwardedCall) -> None:
-        """Answer a request that is sent to no server any more.
+        """Respond to a request that is in quarantine.
 
-        Where it did not run, that is said, with a time to come back which tells that asking again
-        soon is of no use. A status that ends all tries would be wrong once it is let go.
+        If the request did not run, the response says so and asks for a late retry, because an early
+        one is pointless. A status that forbids retries would be wrong once the request is released.
         """
         failure = Failure(code=Code.REQUEST_QUARANTINED)
         await self.not_run(call, failure, retry_after_s=QUARANTINE_RETRY_AFTER_S)
 
     async def timed_out(self, call: ForwardedCall) -> None:
-        """Answer a request whose time is over."""
+        """Respond to a request whose deadline has passed."""
         failure = Failure(code=Code.DEADLINE_PASSED)
         if call.attempts:
             await self._send(call, TIMEOUT_STATUS, failure, None)
@@ -87,15 +87,15 @@
         failure: Failure,
         retry_after_s: float | None,
     ) -> None:
-        self._note(call, _reason(call, failure), failure, status, retry_after_s)
+        self._log_end(call, _end_reason(call, failure), failure, status, retry_after_s)
         if call.reply.started:
-            call.reply.abort()  # an answer has begun: it must not look complete
+            call.reply.abort()  # a response that has started must not look complete
             return
         headers = self._dialect.error_headers(failure, retry_after_s)
         body = f"{int(failure.code)} {failure.code.title}\n".encode()
         await call.reply.send(status, headers, body)
 
-    def _note(
+    def _log_end(
         self,
         call: ForwardedCall,
         reason: EndReason,
@@ -105,7 +105,7 @@
     ) -> None:
         waited_s = asyncio.get_running_loop().time() - call.received_s
         if call.reply.started:
-            self.cut[reason] += 1
+            self.truncated[reason] += 1
         log.info(
             "request ended without an answer",
             request=call.request_id,
@@ -126,7 +126,7 @@
         )
 
 
-def _reason(call: ForwardedCall, failure: Failure) -> EndReason:
+def _end_reason(call: ForwardedCall, failure: Failure) -> EndReason:
     if failure.code is Code.REQUEST_QUARANTINED:
         return EndReason.QUARANTINED
     if failure.code is Code.WEIGHTS_TOO_OLD:
--- a/src/leadhollow/forward/plain_forwarder.py
+++ b/src/leadhollow/forward/plain_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards a request to a plain service; what may be repeated is tried again where that helps."""
+"""Forwards requests to plain services, with retries and hedged attempts for repeatable requests."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 from leadhollow.kernel.active_time import active_since_s, active_wait, deadline_at
 from leadhollow.observe.logs import get_logger, log_decision
 
-HEDGE_SHARE = 0.6  # of the objective; then another server may answer a repeatable request sooner
-MOST_SENDS = 6
-REST_STEP_S = 0.02  # between two looks at servers whose rest is over, while one request finds out
-FAR_PENALTY = 0.5  # a server of another failure domain counts as if it had this much more to do
-SHUNNED_PENALTY = 2.0  # in the same terms, of one that wants rest of another entry
+HEDGE_SHARE = 0.6  # share of the objective after which a repeatable request is hedged
+MAX_SENDS = 6
+MIN_BACKOFF_WAIT_S = 0.02  # between checks while another call probes a server after its back-off
+FAR_PENALTY = 0.5  # added to the relative load of a server in another failure domain
+PEER_BACKOFF_PENALTY = 2.0  # the same for a server that requested back-off from another entry
 
 log = get_logger("plain")
 
 
 class PlainForwarder:
-    """Forwards the plain requests of one entry."""
+    """Forwards the requests for plain services of one entry."""
 
     __slots__ = (
-        "_board",
         "_budget",
-        "_ending",
-        "_exchanger",
+        "_client",
+        "_directory",
         "_failure_domain",
         "_random",
+        "_responder",
         "_suspects",
     )
 
@@ -60,15 +60,15 @@
         seed: int,
     ) -> None:
         self._suspects = suspects
-        self._board = directory
+        self._directory = directory
         self._budget = budget
-        self._ending = responder
-        self._exchanger = client
+        self._responder = responder
+        self._client = client
         self._failure_domain = failure_domain
         self._random = random.Random(seed)
 
     async def run(self, call: ForwardedCall) -> None:
-        """Forward one request to its end."""
+        """Forward one request and complete or abort its reply."""
         quarantine = self._suspects.quarantine
         try:
             async with deadline_at(call.deadline_s) as limit:
@@ -76,114 +76,114 @@
                     await self._run(call)
         except TimeoutError:
             if quarantine.is_quarantined(call):
-                await self._ending.quarantined(call)
+                await self._responder.quarantined(call)
             else:
-                await self._ending.timed_out(call)
+                await self._responder.timed_out(call)
 
     async def _run(self, call: ForwardedCall) -> None:
         excluded: set[str] = set()
         failure = Failure(code=Code.NO_CAPACITY)
         fallback: BufferedResponse | None = None
-        while await self._may_try_now(call):
-            server = self._choose(call, excluded)
+        while await self._may_send_after_verdict(call):
+            server = self._choose_server(call, excluded)
             if server is None:
-                if await self._wait_for_rest(call, excluded):
+                if await self._wait_for_backoff(call, excluded):
                     continue
-                failure = self._nobody(call, failure)
+                failure = self._no_server_failure(call, failure)
                 break
             if call.sends and not self._budget.try_acquire(call.service):
                 failure = Failure(code=Code.RETRIES_EXHAUSTED)
                 break
             excluded.add(server.instance.instance)
-            attempted = await self._attempt_hedged(call, server, excluded)
+            attempted = await self._send_hedged(call, server, excluded)
             if attempted.is_err():
                 failure = attempted.unwrap_err().failure
                 continue
-            answer = attempted.unwrap()
-            if answer.successful or not (answer.server_error and self._may_try(call)):
-                await self._pass_on(call, answer)
+            response = attempted.unwrap()
+            if response.successful or not (response.server_error and self._may_send(call)):
+                await self._relay(call, response)
                 return
-            fallback = answer
+            fallback = response
         if fallback is not None and fallback.exchange.metadata.signed:
-            await self._pass_on(call, fallback)
+            await self._relay(call, fallback)
         elif self._suspects.quarantine.is_quarantined(call):
-            await self._ending.quarantined(call)
+            await self._responder.quarantined(call)
         elif call.attempts:
-            await self._ending.unknown(call, failure)
+            await self._responder.unknown(call, failure)
         else:
-            await self._ending.not_run(call, failure, retry_after_s=self._retry_after_s(call))
+            await self._responder.not_run(call, failure, retry_after_s=self._retry_after_s(call))
 
-    async def _pass_on(self, call: ForwardedCall, answer: BufferedResponse) -> None:
+    async def _relay(self, call: ForwardedCall, response: BufferedResponse) -> None:
         passed = await relay_response(
-            call, answer.exchange, buffered=answer.data, complete=answer.complete
+            call, response.exchange, buffered=response.data, complete=response.complete
         )
         if passed.is_err():
-            self._ending.broken_off(call, passed.unwrap_err())
+            self._responder.broken_off(call, passed.unwrap_err())
 
     def _retry_after_s(self, call: ForwardedCall) -> float:
-        """Give the time after which a caller should come back whose request did not run."""
-        left_s = self._rest_left_s(call, set())
+        """Return the time after which a caller whose request did not run should retry."""
+        left_s = self._backoff_left_s(call, set())
         if left_s is not None:
             return retry_after_backoff_s(left_s, rank=call.rank, source=self._random)
         return RefusalReason.NO_SERVER.retry_after_s(self._random)
 
-    async def _wait_for_rest(self, call: ForwardedCall, excluded: set[str]) -> bool:
-        """Wait for the first server that rests, where it takes requests while that is of use."""
-        left_s = self._rest_left_s(call, excluded)
+    async def _wait_for_backoff(self, call: ForwardedCall, excluded: set[str]) -> bool:
+        """Wait for the first back-off to end, unless that is too late; return whether it waited."""
+        left_s = self._backoff_left_s(call, excluded)
         if left_s is None:
             return False
-        wait_s = max(left_s, REST_STEP_S)
+        wait_s = max(left_s, MIN_BACKOFF_WAIT_S)
         if asyncio.get_running_loop().time() + wait_s > min(call.objective_s, call.deadline_s):
             return False
         await asyncio.sleep(wait_s)
         return True
 
-    def _rest_left_s(self, call: ForwardedCall, excluded: set[str]) -> float | None:
-        """Give the time until the first server takes requests again; None where one does not rest.
+    def _backoff_left_s(self, call: ForwardedCall, excluded: set[str]) -> float | None:
+        """Return the time until the first back-off ends; None if a server is not backing off.
 
         Parameters
         ----------
         excluded
-            Servers that must not be tried again.
+            Names of instances that must not be tried again.
         """
-        rests = [
+        backoffs = [
             server.backoff
-            for server in self._board.servers(call.service)
+            for server in self._directory.servers(call.service)
             if server.instance.instance not in excluded
         ]
-        left_s = [rest.remaining_s() for rest in rests if rest is not None]
-        return min(left_s, default=None) if len(left_s) == len(rests) else None
+        left_s = [backoff.left_s() for backoff in backoffs if backoff is not None]
+        return min(left_s, default=None) if len(left_s) == len(backoffs) else None
 
-    def _nobody(self, call: ForwardedCall, failure: Failure) -> Failure:
-        """Say that the service has no server at all; else the last attempt's failure stands."""
-        if self._board.servers(call.service):
+    def _no_server_failure(self, call: ForwardedCall, failure: Failure) -> Failure:
+        """Return a failure that says if no server is known, else the last attempt's failure."""
+        if self._directory.servers(call.service):
             return failure
         detail = f"no backend server of {call.service} is known here"
         return Failure(code=Code.NO_CAPACITY, detail=detail)
 
-    async def _may_try_now(self, call: ForwardedCall) -> bool:
-        if self._may_try(call):
+    async def _may_send_after_verdict(self, call: ForwardedCall) -> bool:
+        if self._may_send(call):
             await self._suspects.quarantine.wait_for_verdict(call)
-        return self._may_try(call)
+        return self._may_send(call)
 
-    def _may_try(self, call: ForwardedCall) -> bool:
+    def _may_send(self, call: ForwardedCall) -> bool:
         if self._suspects.quarantine.is_quarantined(call):
             return False
-        if call.sends >= MOST_SENDS or call.attempts >= call.route.attempts:
+        if call.sends >= MAX_SENDS or call.attempts >= call.route.attempts:
             return False
         return call.attempts == 0 or (call.route.repeatable and call.body.complete)
 
-    async def _attempt_hedged(
+    async def _send_hedged(
         self, call: ForwardedCall, server: Server, excluded: set[str]
     ) -> Result[BufferedResponse, AttemptFailure]:
-        """Attempt at one server, and at a second one where the first takes long."""
+        """Send an attempt to one server, and a hedge to a second one if the first takes long."""
         loop = asyncio.get_running_loop()
         first = loop.create_task(self._attempt(call, server))
         tasks = {first}
         try:
-            left_s = HEDGE_SHARE * call.route.objective_ms / 1000 - active_since_s(call.received_s)
+            left_s = HEDGE_SHARE * call.route.objective_ms / 1000 - heard_since_s(call.received_s)
             if self._may_hedge(call) and not await active_wait(tasks, max(0.0, left_s)):
-                second = self._choose(call, excluded)
+                second = self._choose_server(call, excluded)
                 if second is not None and self._budget.try_acquire(call.service):
                     excluded.add(second.instance.instance)
                     tasks.add(loop.create_task(self._attempt(call, second)))
@@ -196,17 +196,20 @@
         repeatable = call.route.repeatable and call.body.complete
         return repeatable and call.attempts + 1 < call.route.attempts
 
-    def _choose(self, call: ForwardedCall, excluded: set[str]) -> Server | None:
-        """Choose the server with the least to do; a healthy one, if there is any."""
+    def _choose_server(self, call: ForwardedCall, excluded: set[str]) -> Server | None:
+        """Choose the least loaded server, among the healthy ones if there are any."""
         now_s = asyncio.get_running_loop().time()
-        found = [
+        candidates = [
             server
-            for server in self._board.servers(call.service)
+            for server in self._directory.servers(call.service)
             if server.instance.instance not in excluded and server.admits()
         ]
-        healthy = [server for server in found if server.health.usable(now_s)]
-        told = self._board.hears_others()
-        ranked = sorted(healthy or found, key=lambda server: self._rank(server, now_s, told=told))
+        healthy = [server for server in candidates if server.health.usable(now_s)]
+        peers_known = self._directory.hears_others()
+        ranked = sorted(
+            healthy or candidates,
+            key=lambda server: self._cost(server, now_s, peers_known=peers_known),
+        )
         if not ranked:
             return None
         chosen = ranked[0]
@@ -217,42 +220,42 @@
             domain=chosen.instance.failure_domain,
             own=chosen.own_requests,
             healthy=len(healthy),
-            found=len(found),
+            found=len(candidates),
         )
         return chosen
 
-    def _rank(self, server: Server, now_s: float, *, told: bool) -> float:
+    def _cost(self, server: Server, now_s: float, *, peers_known: bool) -> float:
         far = server.instance.failure_domain != self._failure_domain
-        running = server.own_requests + server.peer_requests(now_s, peer_use_known=told)
+        running = server.own_requests + server.peer_requests(now_s, told=peers_known)
         load = running / max(1, server.instance.slots)
         penalty = FAR_PENALTY if far else 0.0
-        if server.backoff is not None and server.backoff.deprioritised:
-            penalty += SHUNNED_PENALTY
+        if server.backoff is not None and server.backoff.shunned:
+            penalty += PEER_BACKOFF_PENALTY
         return load + penalty + self._random.uniform(0, 0.2)
 
     async def _attempt(
         self, call: ForwardedCall, server: Server
     ) -> Result[BufferedResponse, AttemptFailure]:
         loop = asyncio.get_running_loop()
-        running = OwnCall(prompt_tokens=0, output_tokens=0, placed_s=loop.time(), predicted_ms=0.0)
-        server.add_call(running)
+        own_call = OwnCall(prompt_tokens=0, output_tokens=0, placed_s=loop.time(), predicted_ms=0.0)
+        server.add_call(own_call)
         server.health.record_start(loop.time())
         call.sends += 1
         call.record_dispatch(server.instance.instance)
         try:
-            return await self._exchange(call, server, running)
+            return await self._exchange(call, server, own_call)
         finally:
-            server.remove_call(running, loop.time())
-            self._board.notify_change()
+            server.remove_call(own_call, loop.time())
+            self._directory.notify_change()
 
     async def _exchange(
-        self, call: ForwardedCall, server: Server, running: OwnCall
+        self, call: ForwardedCall, server: Server, own_call: OwnCall
     ) -> Result[BufferedResponse, AttemptFailure]:
         instance = server.instance
-        call.attempts += 1  # taken back where it is certain that nothing ran
-        began = await self._exchanger.send(
+        call.attempts += 1  # undone if it is certain that nothing ran
+        began = await self._client.send(
             server=server,
-            own_call=running,
+            own_call=own_call,
             head=call.head,
             body=call.body,
             attempt_id=call.request_id,
@@ -260,77 +263,86 @@
             fresh=not call.route.repeatable,
         )
         if began.is_err():
-            failed = began.unwrap_err()
-            self._note_failure(call, server, failed)
-            return Err(failed)
+            error = began.unwrap_err()
+            self._record_failure(call, server, error)
+            return Err(error)
         exchange = began.unwrap()
         try:
-            return await self._take(call, server, exchange)
+            return await self._receive(call, server, exchange)
         except BaseException:
             exchange.abort()
             raise
 
-    async def _take(
+    async def _receive(
         self, call: ForwardedCall, server: Server, exchange: Exchange
     ) -> Result[BufferedResponse, AttemptFailure]:
         if exchange.metadata.not_executed or exchange.status == HTTPStatus.MISDIRECTED_REQUEST:
-            return Err(self._refused(call, server, exchange))
+            return Err(self._record_refusal(call, server, exchange))
         taken = await buffer_response(exchange)
         if taken.is_err():
-            failed = AttemptFailure(end=AttemptEnd.UNKNOWN, failure=taken.unwrap_err())
-            self._note_failure(call, server, failed)
+            error = AttemptFailure(end=AttemptEnd.UNKNOWN, failure=taken.unwrap_err())
+            self._record_failure(call, server, error)
             exchange.abort()
-            return Err(failed)
-        answer = taken.unwrap()
+            return Err(error)
+        response = taken.unwrap()
         if exchange.status < HTTPStatus.BAD_REQUEST and not exchange.metadata.signed:
             failure = Failure(code=Code.ENGINE_FAILED, detail="a success without a signature")
-            failed = AttemptFailure(end=AttemptEnd.UNKNOWN, failure=failure)
-            self._note_failure(call, server, failed)
+            error = AttemptFailure(end=AttemptEnd.UNKNOWN, failure=failure)
+            self._record_failure(call, server, error)
             exchange.abort()
-            return Err(failed)
-        if answer.server_error:
+            return Err(error)
+        if response.server_error:
             server.health.record_failure(asyncio.get_running_loop().time())
         else:
             server.health.record_success()
             if exchange.response.head.framing is not Framing.UNTIL_CLOSE:
                 self._suspects.record_success(server, call.fingerprint)
         log.info(
-            "answer taken",
+            "response received",
             request=call.request_id,
             fingerprint=short_fingerprint(call.fingerprint),
             instance=server.instance.instance,
             status=exchange.status,
             framing=exchange.response.head.framing.value,
-            size_bytes=len(answer.data),
+            size_bytes=len(response.data),
             after_ms=round((asyncio.get_running_loop().time() - call.received_s) * 1000),
         )
-        return Ok(answer)
+        return Ok(response)
 
-    def _refused(self, call: ForwardedCall, server: Server, exchange: Exchange) -> AttemptFailure:
+    def _record_refusal(
+        self, call: ForwardedCall, server: Server, exchange: Exchange
+    ) -> AttemptFailure:
         call.attempts -= 1
         instance = server.instance.instance
         server.health.record_inconclusive()
         if exchange.metadata.instance not in (None, instance):
-            self._board.record_instance_mismatch(instance)
+            self._directory.record_instance_mismatch(instance)
         log.info(
-            "server refused", request=call.request_id, instance=instance, status=exchange.status
+            "server refused the request",
+            request=call.request_id,
+            instance=instance,
+            status=exchange.status,
         )
         failure = Failure(code=Code.BACKEND_REFUSED, detail=f"status {exchange.status}")
         exchange.abort()
         return AttemptFailure(end=AttemptEnd.NOT_EXECUTED, failure=failure)
 
-    def _note_failure(self, call: ForwardedCall, server: Server, failed: AttemptFailure) -> None:
+    def _record_failure(self, call: ForwardedCall, server: Server, error: AttemptFailure) -> None:
         now_s = asyncio.get_running_loop().time()
-        if not failed.may_have_run:
+        if not error.may_have_run:
             call.attempts -= 1
-        if failed.end is AttemptEnd.WITHHELD:
+        if error.end is AttemptEnd.WITHHELD:
             call.sends -= 1
             if call.sends:
                 self._budget.refund(call.service)
             server.health.record_inconclusive()
-            log.info("server withheld", request=call.request_id, failure=str(failed.failure))
+            log.info(
+                "request not sent to the server",
+                request=call.request_id,
+                failure=str(error.failure),
+            )
             return
-        if failed.end is AttemptEnd.NOT_SENT:
+        if error.end is AttemptEnd.NOT_SENT:
             server.health.record_unreachable(now_s)
         else:
             server.health.record_failure(now_s)
@@ -340,13 +352,13 @@
             request=call.request_id,
             fingerprint=short_fingerprint(call.fingerprint),
             instance=server.instance.instance,
-            end=failed.end.value,
-            failure=str(failed.failure),
+            end=error.end.value,
+            failure=str(error.failure),
         )
 
 
 async def _discard(task: asyncio.Task[Result[BufferedResponse, AttemptFailure]]) -> None:
-    """Break off an attempt that is not needed any more."""
+    """Cancel an attempt that is no longer needed."""
     if not task.done():
         task.cancel()
         await asyncio.wait([task])
--- a/src/leadhollow/forward/pool.py
+++ b/src/leadhollow/forward/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers, kept for a short while between requests."""
+"""Pools connections to backend servers for a short time between requests."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.settings.address import Address
 
-CONNECT_TIMEOUT_S = 0.3  # ten times the longest way between failure domains
-REUSE_WITHIN_S = 1.5  # backend servers close idle connections, some sooner than they say
-KEEP_ALIVE_SHARE = 0.5  # of the time that a backend server says it keeps an idle connection
-IDLE_KEPT = 24  # a batch of an engine and some more
+CONNECT_TIMEOUT_S = 0.3  # ten times the highest latency between failure domains
+MAX_IDLE_S = 1.5  # backend servers close idle connections, some earlier than they announce
+KEEP_ALIVE_SHARE = 0.5  # share of the keep-alive time that a backend server announces
+MAX_IDLE_CONNECTIONS = 24  # per address; an engine's batch and some more
 REAP_INTERVAL_S = 0.5
 
 
 class ConnectionPool(TaskService):
-    """Idle connections by address; one is only used again where nothing speaks against it."""
+    """Idle connections by address; only those that are usable and recently used are reused."""
 
     __slots__ = ("_idle", "opened", "reused")
 
@@ -33,26 +33,26 @@
     async def acquire(
         self, address: str, *, fresh: bool, timeout_s: float = CONNECT_TIMEOUT_S
     ) -> Result[ClientConnection, Failure]:
-        """Give a connection for one exchange.
+        """Return a connection for one exchange, reused or new.
 
         Parameters
         ----------
         fresh
-            Whether it must be a new one: a request that may run once only must not be lost in a
-            connection that the other side is just closing.
+            Whether the connection must be new. A request that must not run twice must not be lost
+            on a connection that the server is about to close.
         timeout_s
-            Time in which a new one must open.
+            Timeout for opening a new connection.
 
         Errors
         ------
         PEER_ABSENT, PEER_LOST, PEER_TIMEOUT
-            There is no connection; nothing was sent.
+            No connection could be opened; nothing was sent.
         """
         if not fresh:
-            kept = self._take_idle(address)
-            if kept is not None:
+            idle = self._take_idle(address)
+            if idle is not None:
                 self.reused += 1
-                return Ok(kept)
+                return Ok(idle)
         parsed = Address.parse(address)
         if parsed.is_err():
             return Err(parsed.unwrap_err())
@@ -60,17 +60,17 @@
         return await open_connection(parsed.unwrap(), timeout_s=timeout_s)
 
     async def preconnect(self, address: str, *, timeout_s: float = CONNECT_TIMEOUT_S) -> bool:
-        """Open a connection and keep it for the next request; tells whether there is one."""
+        """Open a connection for the next request; return whether that succeeded."""
         opened = await self.acquire(address, fresh=True, timeout_s=timeout_s)
         if opened.is_ok():
             self.release(address, opened.unwrap())
         return opened.is_ok()
 
     def release(self, address: str, connection: ClientConnection) -> None:
-        """Take a connection back after a whole exchange."""
+        """Return a connection to the pool after a complete exchange."""
         connection.end_exchange()
         idle = self._idle.setdefault(address, [])
-        if connection.usable and len(idle) < IDLE_KEPT:
+        if connection.usable and len(idle) < MAX_IDLE_CONNECTIONS:
             idle.append(connection)
         else:
             connection.close()
@@ -111,7 +111,7 @@
     def _reusable(self, connection: ClientConnection) -> bool:
         if not connection.usable:
             return False
-        limit_s = REUSE_WITHIN_S
+        limit_s = MAX_IDLE_S
         if connection.keep_alive_s is not None:
             limit_s = min(limit_s, connection.keep_alive_s * KEEP_ALIVE_SHARE)
         return clocks.elapsed_s() - connection.idle_since_s < limit_s
--- a/src/leadhollow/forward/quarantine.py
+++ b/src/leadhollow/forward/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that are sent to no server any more, and the calls of them that run here."""
+"""Keeps quarantined requests away from all servers and aborts their running calls."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from leadhollow.kernel.active_time import active_sleep
 from leadhollow.observe.logs import get_logger
 
-VERDICT_S = 0.13
-"""From the end of a server to the verdict at an entry: 40 ms until all entries know that it ended,
-65 until a replica judges, and the news."""
+VERDICT_DELAY_S = 0.13
+"""Time from a server end to the verdict at an entry: 40 ms until all entries know of the end, 65 ms
+until a replica decides, and the time to relay the verdict."""
 
 log = get_logger("quarantine")
 
 
 class Quarantine:
-    """What an entry does about requests in quarantine.
+    """Applies the quarantine at one entry.
 
     Parameters
     ----------
     table
-        What all entries together know.
+        Suspect requests and verdicts that all entries share.
     """
 
     __slots__ = ("_running", "table")
@@ -36,29 +36,29 @@
         self._running: dict[bytes, dict[ForwardedCall, asyncio.Timeout]] = {}
 
     def is_quarantined(self, call: ForwardedCall) -> bool:
-        """Tell whether a request must not be sent."""
+        """Return whether a request must not be sent."""
         return self.table.is_quarantined(call.fingerprint)
 
     async def wait_for_verdict(self, call: ForwardedCall) -> None:
-        """Let a call wait that may have ended its third server just now, before it is sent again.
+        """Delay another send of a call that one more server end would put into quarantine.
 
-        Without it the second send of a call leaves in the moment after the first server has ended,
-        before anybody can judge. Who rode along waits too, as far as two ends speak against it.
+        Without the delay, the retry of a call leaves right after its server ended, before a replica
+        can decide. Innocent calls that ran at the same servers are delayed too.
         """
         if (
             call.sends
             and len(self.table.suspected_lives(call.fingerprint)) + 1 >= ENDS_TO_QUARANTINE
         ):
-            await active_sleep(VERDICT_S)
+            await active_sleep(VERDICT_DELAY_S)
 
     @contextmanager
     def track(self, call: ForwardedCall, limit: asyncio.Timeout) -> Iterator[None]:
-        """Keep a call among those that are broken off once their request is in quarantine.
+        """Abort a call within this context if its request is put into quarantine.
 
         Parameters
         ----------
         limit
-            Of the call; it is brought forward to end it.
+            Timeout of the call; it is rescheduled to now to abort the call.
         """
         calls = self._running.setdefault(call.fingerprint, {})
         calls[call] = limit
@@ -70,10 +70,10 @@
                 self._running.pop(call.fingerprint, None)
 
     def abort_calls(self, fingerprints: Iterable[bytes]) -> None:
-        """Break off what runs of requests in quarantine.
+        """Abort running calls of requests that are in quarantine.
 
-        A server that has not begun to run it yet, because it still reads or waits, goes on: that
-        is most of the time between sending a request and the end of the server.
+        This saves servers that have not begun to run the request, because they still read or queue
+        it. That is most of the time between sending a request and the server end that it causes.
         """
         now_s = asyncio.get_running_loop().time()
         for fingerprint in fingerprints:
--- a/src/leadhollow/forward/reachability_prober.py
+++ b/src/leadhollow/forward/reachability_prober.py
@@ -1,8 +1,7 @@
-"""Finds out when backend servers that could not be reached can be reached again.
+"""Probes backend servers that were unreachable, so that requests need not wait for connections.
 
-Only connections are opened, which costs no request its time, and the first one that opens is used
-by the next request. A server that accepts connections but does no work is another matter: requests
-find that out.
+A probe only opens a connection; the next request uses it. Probes do not detect a server that
+accepts connections but does no work: requests detect that.
 """
 
 from __future__ import annotations
@@ -15,38 +14,40 @@
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.observe.logs import get_logger
 
-INTERVAL_S = 0.25  # an outage seems longer by at most this; a cut of some seconds costs few tries
+PROBE_INTERVAL_S = 0.25  # longest delay until a recovery is noticed; few probes per outage
 
 log = get_logger("path")
 
 
 class ReachabilityProber(TaskService):
-    """Tries connections to unreachable servers.
+    """Periodically tries to connect to unreachable servers.
 
     Parameters
     ----------
-    board
-        Backend servers that are looked after.
+    directory
+        Backend servers to probe.
     """
 
-    __slots__ = ("_board", "_pool")
+    __slots__ = ("_directory", "_pool")
 
     def __init__(self, *, directory: ServerDirectory, pool: ConnectionPool) -> None:
-        self._board = directory
+        self._directory = directory
         self._pool = pool
         super().__init__()
 
     async def _work(self) -> None:
         while True:
-            await asyncio.sleep(INTERVAL_S)
-            lost = [server for server in self._board.all_servers() if server.health.unreachable]
-            await asyncio.gather(*(self._try(server) for server in lost))
+            await asyncio.sleep(PROBE_INTERVAL_S)
+            unreachable = [
+                server for server in self._directory.all_servers() if server.health.unreachable
+            ]
+            await asyncio.gather(*(self._probe(server) for server in unreachable))
 
-    async def _try(self, server: Server) -> None:
+    async def _probe(self, server: Server) -> None:
         opened = await self._pool.preconnect(server.instance.address)
         now_s = asyncio.get_running_loop().time()
         if not server.health.unreachable:
-            return  # a request has found its way meanwhile
+            return  # a request has reached the server in the meantime
         if not opened:
             server.health.record_still_unreachable(now_s)
             return
@@ -56,7 +57,7 @@
             address=server.instance.address,
         )
         server.health.record_reachable(now_s)
-        self._board.notify_change()
+        self._directory.notify_change()
 
 
-__all__ = ["PathProber"]
+__all__ = ["ReachabilityProber"]
--- a/src/leadhollow/forward/readiness.py
+++ b/src/leadhollow/forward/readiness.py
@@ -1,4 +1,4 @@
-"""Tells the balancer whether this entry takes new connections."""
+"""Readiness endpoint, by which the load balancer learns whether this entry takes requests."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class ReadinessListener:
-    """Answers 200 while the entry may get requests, else 503 with the reason.
+    """Responds 200 while the entry is ready, else 503 with the reason.
 
     Parameters
     ----------
     reason
-        Gives why the entry is not ready; empty while it is.
+        Returns why the entry is not ready; empty while it is ready.
     """
 
     __slots__ = ("_last", "_reason", "_server")
@@ -39,7 +39,7 @@
         return await self._server.start()
 
     async def drain(self) -> None:
-        """The reason changes by itself."""
+        """Do nothing; ``reason`` reports the draining."""
 
     async def stop(self) -> None:
         """Close the listener."""
--- a/src/leadhollow/forward/request_body.py
+++ b/src/leadhollow/forward/request_body.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request: kept for a second attempt while it is small, else passed on."""
+"""Body of a caller's request: buffered for retries if it is small, else streamed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from leadhollow.http1.client_connection import ClientConnection
 from leadhollow.http1.messages import LAST_CHUNK, Framing, RequestHead, encode_chunk
 
-KEPT_BYTES = 256 * 1024  # requests above it are not repeated
+MAX_BUFFERED_BYTES = 256 * 1024  # requests with a larger body are not retried
 
 
 class RequestBody:
@@ -18,8 +18,8 @@
 
     Attributes
     ----------
-    whole
-        Whether all of it is here, so that it may be sent again.
+    complete
+        Whether the complete body is buffered, so that it can be sent again.
     """
 
     __slots__ = (
@@ -44,17 +44,17 @@
 
     @property
     def buffered(self) -> bytes:
-        """What of it is here, all of it where it is whole."""
+        """Buffered beginning of the body; all of it if it is complete."""
         return self._data
 
     @property
     def length(self) -> int | None:
-        """Length in bytes, None where it is not known before its end."""
+        """Length in bytes; None if it is not known before the end."""
         return len(self._data) if self.complete else self._length
 
     @property
     def framing_fields(self) -> list[tuple[bytes, bytes]]:
-        """Fields that tell a backend server where the body ends."""
+        """Header fields that frame the body for a backend server."""
         if self.complete:
             if not self._data and self._framing is Framing.NONE:
                 return []
@@ -64,19 +64,19 @@
         return [(b"Transfer-Encoding", b"chunked")]
 
     async def collect(self) -> Result[None, Failure]:
-        """Read the body, or the beginning of a long one.
+        """Buffer the body, or the beginning of a long one.
 
         Errors
         ------
         BODY_TOO_LARGE
-            It is larger than callers may send.
+            The body is larger than callers may send.
         REQUEST_MALFORMED
-            It ended too early or is not framed well.
+            The body ended early or its framing is invalid.
         """
         if self._length is not None and self._length > self._limit_bytes:
             return Err(_too_large(self._limit_bytes))
         parts = []
-        while self._received <= KEPT_BYTES:
+        while self._received <= MAX_BUFFERED_BYTES:
             read = await self._next()
             if read.is_err():
                 return Err(read.unwrap_err())
@@ -89,7 +89,7 @@
         return Ok(None)
 
     async def send(self, connection: ClientConnection) -> Result[None, Failure]:
-        """Send the body, and what has not arrived yet as it arrives."""
+        """Send the buffered part and then the rest as it arrives."""
         chunked = not self.complete and self._length is None
         await connection.write(encode_chunk(self._data) if chunked else self._data)
         while not self.complete:
--- a/src/leadhollow/forward/response_relay.py
+++ b/src/leadhollow/forward/response_relay.py
@@ -1,4 +1,4 @@
-"""Passes an answer on to its caller unchanged."""
+"""Relays a response to its caller unchanged."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 def relayed_headers(exchange: Exchange) -> Headers:
-    """Give the fields of an answer that its caller gets, without those that frame the body."""
-    ours = exchange.metadata.internal_fields | FRAMING_FIELDS
-    return exchange.response.head.headers.end_to_end().without(ours)
+    """Return the header fields of a response for its caller, without those that frame the body."""
+    excluded = exchange.metadata.internal_fields | FRAMING_FIELDS
+    return exchange.response.head.headers.end_to_end().without(excluded)
 
 
 async def relay_response(
     call: ForwardedCall, exchange: Exchange, *, buffered: bytes = b"", complete: bool = False
 ) -> Result[None, Failure]:
-    """Pass an answer on as it comes.
+    """Relay a response as it arrives.
 
     Parameters
     ----------
-    taken
-        What was read of its body before.
-    whole
-        Whether that is all of it.
+    buffered
+        Part of the body that has been read already.
+    complete
+        Whether ``buffered`` is the complete body.
 
     Errors
     ------
     BACKEND_LOST
-        It broke off; what the caller has got of it must not look complete.
+        The response ended early; what the caller got must not look complete.
     """
     head = exchange.response.head
     fields = relayed_headers(exchange)
@@ -56,4 +56,4 @@
     return Ok(None)
 
 
-__all__ = ["pass_on", "passed_fields"]
+__all__ = ["relay_response", "relayed_headers"]
--- a/src/leadhollow/forward/self_reports.py
+++ b/src/leadhollow/forward/self_reports.py
@@ -1,8 +1,9 @@
-"""What backend servers say of themselves in their answers: that they leave, or want rest.
+"""Handles self-reports of backend servers in responses: that they are leaving or want a back-off.
 
-Such a word counts at once at the entry that reads it, whatever control has told. It is told to the
-control replica that is followed, and through it to all: that a server leaves binds every entry, a
-rest makes others prefer other servers.
+A self-report takes effect at once at the entry that reads it, whatever control replicas have sent.
+The entry also sends it to the control replica that it follows, which relays it to all entries. When
+a server is leaving, no entry sends to it any more; when it backs off, other entries prefer other
+servers.
 """
 
 from __future__ import annotations
@@ -26,176 +27,176 @@
 from leadhollow.wire.generated.ttypes import ServerWord, ServerWords
 from leadhollow.wire.peers import PeerPool
 
-GATHER_S = 0.002
-REFRESH_S = 1.0  # how often it is told again who leaves
-MOST_LOGGED = 256  # lives of servers; of one that is dropped from these, a line may come twice
-LOG_PAUSE_S = 1.0  # between two lines on rests of the same server
+BATCH_WINDOW_S = 0.002
+REFRESH_S = 1.0  # between repeated reports of leaving servers
+MAX_LOGGED = 256  # log lines remembered; one that is forgotten may be logged again
+LOG_INTERVAL_S = 1.0  # minimum between log lines about back-offs of the same server
 
 log = get_logger("self-reports")
 
 
-class RestFeed(Protocol):
-    """What is heard of other entries through control."""
+class SelfReportFeed(Protocol):
+    """Feed of a control replica that relays the self-reports that other entries read."""
 
     @property
     def source(self) -> str:
-        """Address of the replica that is followed, empty while there is none."""
+        """Address of the followed replica; empty while there is none."""
         ...
 
     def on_full_update(self, listener: FullUpdateListener) -> None:
-        """Call a function each time that a replica has told everything."""
+        """Call a function each time a replica has sent a full update."""
         ...
 
     def on_backoffs(self, listener: BackoffListener) -> None:
-        """Call a function with rests that backend servers asked of other entries."""
+        """Call a function with back-offs that backend servers requested from other entries."""
         ...
 
 
 class SelfReports(BatchingService):
-    """Takes what the answers of backend servers say of these."""
+    """Applies self-reports of backend servers and sends them to the followed control replica."""
 
     __slots__ = (
-        "_board",
+        "_directory",
         "_feed",
         "_leaving",
-        "_logged_s",
+        "_log_times_s",
         "_peers",
         "_random",
-        "_rests",
+        "_unpublished_backoffs",
     )
 
     def __init__(
-        self, *, directory: ServerDirectory, feed: RestFeed, peers: PeerPool, seed: int
+        self, *, directory: ServerDirectory, feed: SelfReportFeed, peers: PeerPool, seed: int
     ) -> None:
-        self._board = directory
+        self._directory = directory
         self._random = random.Random(seed)
         self._feed = feed
         self._peers = peers
-        self._leaving: set[str] = set()  # lives that said so here
-        self._rests: dict[str, float] = {}  # ends by life, of those that nobody was told of yet
-        self._logged_s: OrderedDict[tuple[str, str], float] = OrderedDict()
-        super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
-        feed.on_full_update(self._on_followed)
-        feed.on_backoffs(self._on_rests)
+        self._leaving: set[str] = set()  # lives that reported it to this entry
+        self._unpublished_backoffs: dict[str, float] = {}  # end of each, by life
+        self._log_times_s: OrderedDict[tuple[str, str], float] = OrderedDict()
+        super().__init__(batch_window_s=BATCH_WINDOW_S, refresh_s=REFRESH_S)
+        feed.on_full_update(self._on_full_update)
+        feed.on_backoffs(self._on_peer_backoffs)
 
     def needs_refresh(self) -> bool:
-        """Tell whether any server that is known said that it leaves."""
+        """Return whether any known server is leaving."""
         return bool(self._leaving)
 
     def record_response(
         self,
         server: Server,
-        facts: ResponseMetadata,
+        metadata: ResponseMetadata,
         *,
         sent_s: float | None,
         call: OwnCall | None,
     ) -> None:
-        """Take what an answer says of its server, or of the one that it names."""
-        if facts.instance not in (None, server.instance.instance):
-            named = self._board.server(facts.instance or "")
+        """Record what a response says about its server, or about the instance that it names."""
+        if metadata.instance not in (None, server.instance.instance):
+            named = self._directory.server(metadata.instance or "")
             if named is None:
                 return
             server = named
-        if not facts.leaving and facts.rest_s is None and not facts.rest_malformed:
+        if not metadata.leaving and metadata.rest_s is None and not metadata.rest_malformed:
             if server.backoff is not None and server.backoff.ended_by(call):
-                self._end_rest(server)
+                self._end_backoff(server)
             return
-        if facts.leaving:
-            self._note_leaving(server)
-        if facts.rest_malformed:
+        if metadata.leaving:
+            self._record_leaving(server)
+        if metadata.rest_malformed:
             failure = Failure(code=Code.REST_MALFORMED)
             self._log_once(server, "rest not taken", failure=str(failure))
-        if facts.rest_s:
-            self._note_rest(server, facts.rest_s)
-
-    def _note_rest(self, server: Server, rest_s: float) -> None:
-        rest = self._rest_of(server)
-        if rest.extend(rest_s):
-            self._log_rest(server, rest_s)
-            self._board.notify_change()
-            self._rests[server.instance.life] = rest.until_s
+        if metadata.rest_s:
+            self._record_backoff(server, metadata.rest_s)
+
+    def _record_backoff(self, server: Server, rest_s: float) -> None:
+        backoff = self._backoff_of(server)
+        if backoff.extend(rest_s):
+            self._log_backoff(server, rest_s)
+            self._directory.notify_change()
+            self._unpublished_backoffs[server.instance.life] = backoff.until_s
             self.note_change()
 
-    def _on_rests(self, words: list[ServerWord]) -> None:
-        """Take rests that were asked of other entries."""
-        for word in words:
-            server = self._board.server_by_life(word.life or "")
+    def _on_peer_backoffs(self, reports: list[ServerWord]) -> None:
+        """Apply back-offs that servers requested from other entries."""
+        for report in reports:
+            server = self._directory.server_by_life(report.life or "")
             if server is not None:
-                self._rest_of(server).record_peer_backoff(max(0, word.rest_ms or 0) / 1000)
-        self._board.notify_change()
+                self._backoff_of(server).record_peer_backoff(max(0, report.rest_ms or 0) / 1000)
+        self._directory.notify_change()
 
-    def _rest_of(self, server: Server) -> ServerBackoff:
+    def _backoff_of(self, server: Server) -> ServerBackoff:
         if server.backoff is None:
             server.backoff = ServerBackoff(clock=clocks.elapsed_s, source=self._random)
         return server.backoff
 
-    def _end_rest(self, server: Server) -> None:
+    def _end_backoff(self, server: Server) -> None:
         server.backoff = None
-        log.info("server takes requests again", **_named(server))
-        self._board.notify_change()
+        log.info("server takes requests again", **_log_fields(server))
+        self._directory.notify_change()
 
-    def _note_leaving(self, server: Server) -> None:
+    def _record_leaving(self, server: Server) -> None:
         life = server.instance.life
-        if life in self._leaving or self._board.server_by_life(life) is None:
+        if life in self._leaving or self._directory.server_by_life(life) is None:
             return
         self._log_once(server, "server leaves")
         self._leaving.add(life)
-        self._board.record_leaving(server)
+        self._directory.record_leaving(server)
         self.note_change()
 
-    def _on_followed(self) -> None:
-        """Tell a replica that may know nothing of it."""
+    def _on_full_update(self) -> None:
+        """Report leaving servers to a replica that may not know of them."""
         if self._leaving:
             self.note_change()
 
     async def _publish(self, *, whole: bool) -> None:
         self._leaving = {
-            life for life in self._leaving if self._board.server_by_life(life) is not None
+            life for life in self._leaving if self._directory.server_by_life(life) is not None
         }
         source = self._feed.source
-        if not (self._leaving or self._rests) or not source:
+        if not (self._leaving or self._unpublished_backoffs) or not source:
             return
         connected = await self._peers.connection(source)
         if connected.is_err():
-            log.warning("self-reports not told", failure=str(connected.unwrap_err()))
+            log.warning("self-reports not sent", failure=str(connected.unwrap_err()))
             return
-        connected.unwrap().oneway(ServerWords("", self._words()))
+        connected.unwrap().oneway(ServerWords("", self._pending_reports()))
 
-    def _words(self) -> list[ServerWord]:
-        """Give what is to be told; each rest once."""
-        rests, self._rests = self._rests, {}
+    def _pending_reports(self) -> list[ServerWord]:
+        """Return the self-reports to send; each back-off is sent once."""
+        backoffs, self._unpublished_backoffs = self._unpublished_backoffs, {}
         now_s = clocks.elapsed_s()
-        words = [leaving_report(life) for life in sorted(self._leaving)]
-        words += [
-            backoff_report(life, end_s - now_s) for life, end_s in rests.items() if end_s > now_s
+        reports = [leaving_report(life) for life in sorted(self._leaving)]
+        reports += [
+            backoff_report(life, end_s - now_s) for life, end_s in backoffs.items() if end_s > now_s
         ]
-        return words
+        return reports
 
     def _log_once(self, server: Server, message: str, **fields: object) -> None:
-        """Log what holds for a whole life."""
-        if self._logged(server, message) is None:
-            log.info(message, **_named(server), **fields)
+        """Log a message once per life of a server."""
+        if self._last_logged_s(server, message) is None:
+            log.info(message, **_log_fields(server), **fields)
 
-    def _log_rest(self, server: Server, rest_s: float) -> None:
+    def _log_backoff(self, server: Server, rest_s: float) -> None:
         message = "server wants rest"
-        last_s = self._logged(server, message)
+        last_s = self._last_logged_s(server, message)
         now_s = clocks.elapsed_s()
-        if last_s is None or now_s - last_s > LOG_PAUSE_S:
-            self._logged_s[server.instance.life, message] = now_s
-            log.info(message, **_named(server), rest_s=rest_s)
+        if last_s is None or now_s - last_s > LOG_INTERVAL_S:
+            self._log_times_s[server.instance.life, message] = now_s
+            log.info(message, **_log_fields(server), rest_s=rest_s)
 
-    def _logged(self, server: Server, message: str) -> float | None:
-        """Give when a line was last logged of a life, None where it was not; notes it then."""
+    def _last_logged_s(self, server: Server, message: str) -> float | None:
+        """Return when a message was last logged for a life; if never, record it and return None."""
         key = (server.instance.life, message)
-        last_s = self._logged_s.get(key)
+        last_s = self._log_times_s.get(key)
         if last_s is None:
-            self._logged_s[key] = clocks.elapsed_s()
-            while len(self._logged_s) > MOST_LOGGED:
-                self._logged_s.popitem(last=False)
+            self._log_times_s[key] = clocks.elapsed_s()
+            while len(self._log_times_s) > MAX_LOGGED:
+                self._log_times_s.popitem(last=False)
         return last_s
 
 
-def _named(server: Server) -> dict[str, object]:
+def _log_fields(server: Server) -> dict[str, object]:
     instance = server.instance
     return {
         "instance": instance.instance,
@@ -205,4 +206,4 @@
     }
 
 
-__all__ = ["RestFeed", "SelfReports"]
+__all__ = ["SelfReportFeed", "SelfReports"]
--- a/src/leadhollow/forward/silence_monitor.py
+++ b/src/leadhollow/forward/silence_monitor.py
@@ -1,4 +1,4 @@
-"""Watches for an engine that writes nothing, without ending anything by it."""
+"""Detects that an engine sends nothing, without cancelling its request."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 
 class SilenceMonitor:
-    """Calls back each time an engine has been silent for longer than expected.
+    """Calls back each time an engine has been silent for longer than a timeout.
 
-    What is expected may change meanwhile, and an event costs no timer of its own: the watch looks
-    when the last silence that it knew of would have become too long.
+    The timeout may change in the meantime. Events restart no timer: when the timer fires, the
+    monitor checks how long the engine has been silent and waits for the rest of the timeout.
 
     Parameters
     ----------
-    heard_s
-        Gives the time, by the clock of what could be heard, at which the engine was last heard.
-    patience_s
-        Gives the silence that is expected.
+    last_received_s
+        Returns when bytes of the engine last arrived, in active time, which excludes stalls of the
+        event loop.
+    timeout_s
+        Returns the current timeout.
     on_silent
-        Called once for each such time without a sign.
+        Called once each time the timeout passes.
     """
 
-    __slots__ = ("_from_s", "_heard_s", "_on_silent", "_patience_s", "_timer")
+    __slots__ = ("_last_received_s", "_on_silent", "_restarted_s", "_timeout_s", "_timer")
 
     def __init__(
         self,
@@ -33,27 +34,27 @@
         timeout_s: Callable[[], float],
         on_silent: Callable[[], None],
     ) -> None:
-        self._heard_s = last_received_s
-        self._patience_s = timeout_s
+        self._last_received_s = last_received_s
+        self._timeout_s = timeout_s
         self._on_silent = on_silent
-        self._from_s = last_received_s()
-        self._timer = ActiveTimer(delay_s=timeout_s(), callback=self._look)
+        self._restarted_s = last_received_s()
+        self._timer = ActiveTimer(delay_s=timeout_s(), callback=self._check)
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop monitoring."""
         self._timer.cancel()
 
-    def _look(self) -> None:
-        now_s = active_time.active_s()
-        since_s = max(self._heard_s(), self._from_s)
-        left_s = self._patience_s() - (now_s - since_s)
+    def _check(self) -> None:
+        now_s = active_time.heard_s()
+        since_s = max(self._last_received_s(), self._restarted_s)
+        left_s = self._timeout_s() - (now_s - since_s)
         if left_s <= 0:
-            self._from_s = now_s
-            left_s = self._patience_s()
-            self._timer = ActiveTimer(delay_s=left_s, callback=self._look)
+            self._restarted_s = now_s
+            left_s = self._timeout_s()
+            self._timer = ActiveTimer(delay_s=left_s, callback=self._check)
             self._on_silent()
             return
-        self._timer = ActiveTimer(delay_s=left_s, callback=self._look)
+        self._timer = ActiveTimer(delay_s=left_s, callback=self._check)
 
 
-__all__ = ["SilenceWatch"]
+__all__ = ["SilenceMonitor"]
--- a/src/leadhollow/forward/stream_attempt.py
+++ b/src/leadhollow/forward/stream_attempt.py
@@ -1,4 +1,4 @@
-"""One engine's part in a stream: it is asked, it answers, and something is learnt of it."""
+"""One attempt of a stream at one engine: sends the request and records the engine's health."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from leadhollow.kernel import active_time
 from leadhollow.observe.logs import get_logger
 
-NEAR_BOUND_S = 3.0  # before weights become too old, a request must not be held up on its way
-QUICK_CONNECT_S = 0.08  # many times the way between failure domains: the path is free
-FIRST_EVENT_FACTOR = 2.5  # of the predicted time, and at least the objective
-STALL_FACTOR = 2.0  # of the pause that a route calls on time
-SHORTEST_STALL_S = 0.8
+NEAR_DEADLINE_S = 3.0  # within this time before weights become too old, connecting must be quick
+QUICK_CONNECT_TIMEOUT_S = 0.08  # many times the latency between failure domains if the path works
+FIRST_EVENT_FACTOR = 2.5  # timeout relative to the prediction; the objective is its minimum
+SILENCE_FACTOR = 2.0  # timeout relative to the pause that a route calls on time
+MIN_SILENCE_S = 0.8
 
 log = get_logger("stream")
 
 
 class StreamContext:
-    """What the streams of one entry share."""
+    """Services that all streams of one entry share."""
 
-    __slots__ = ("directory", "budget", "client", "queue", "suspects")
+    __slots__ = ("budget", "client", "directory", "queue", "suspects")
 
     def __init__(
         self,
@@ -54,14 +54,14 @@
 
 
 class ExcludedEngines:
-    """Engines that one request is not sent to again.
+    """Engines that one request must not be sent to again.
 
     Attributes
     ----------
     instances
-        Incarnations of those that failed it, and of those that it was silent at.
+        Names of the instances that failed the request or went silent on it.
     lost_domains
-        Failure domains of those that broke it off.
+        Failure domains of the engines that broke it off.
     """
 
     __slots__ = ("instances", "lost_domains")
@@ -72,32 +72,32 @@
 
 
 class StreamAttempt:
-    """A place at an engine, and what comes of it.
+    """One attempt of a stream at the engine where it was placed.
 
     Parameters
     ----------
-    tried
-        Where the request must not go again; this engine joins them if it fails.
+    excluded
+        Engines that the request must not be sent to again; this engine is added if it fails.
 
     Attributes
     ----------
-    asked_s
-        When it was asked, by the clock of what could be heard.
+    sent_s
+        When the request was sent, in active time, which excludes stalls of the event loop.
     source
-        Its answer; None before that.
-    failed_answer
-        An answer of the engine that is no stream, where it gave one.
+        Events of the response; None before its head has arrived.
+    failed_response
+        Response of the engine that is not a stream; None if there is none.
     """
 
     __slots__ = (
         "_call",
-        "_judged",
-        "_noted",
-        "_parts",
-        "_tried",
-        "sent_s",
+        "_context",
+        "_excluded",
+        "_failure_recorded",
+        "_health_updated",
         "failed_response",
         "placement",
+        "sent_s",
         "source",
     )
 
@@ -109,133 +109,133 @@
         placement: Placement,
         excluded: ExcludedEngines,
     ) -> None:
-        self._parts = context
+        self._context = context
         self._call = call
-        self._tried = excluded
-        self._judged = False  # whether anything was learnt of the engine's health
-        self._noted = False
-        self.sent_s = active_time.active_s()
+        self._excluded = excluded
+        self._health_updated = False  # whether the engine's health was updated
+        self._failure_recorded = False
+        self.sent_s = active_time.heard_s()
         self.placement = placement
         self.source: EventSource | None = None
         self.failed_response: Exchange | None = None
 
     @property
     def instance(self) -> str:
-        """Incarnation of the engine."""
+        """Instance name of the engine."""
         return self.placement.server.instance.instance
 
     @property
     def awaiting_first_event(self) -> bool:
-        """Whether nothing of an answer has come yet."""
+        """Whether nothing of a response has arrived yet."""
         return self.placement.call.in_prefill and self.failed_response is None
 
     async def open(self, *, last_event_id: int | None) -> Result[EventSource, Failure]:
-        """Send the request and wait for an answer that is a stream.
+        """Send the request and wait for the head of a streaming response.
 
         Errors
         ------
         BACKEND_LOST, BACKEND_REFUSED, ENGINE_FAILED, and those of opening a connection
-            Another engine may be asked; what is to be learnt of this one has been noted.
+            Another engine may be tried; the health of this one has been updated.
         """
         call, placement = self._call, self.placement
         call.record_dispatch(self.instance)
-        self.sent_s = active_time.active_s()
+        self.sent_s = active_time.heard_s()
         dispatch = call.dispatch(
             instance=self.instance,
             version=placement.expected_version,
             last_event_id=last_event_id,
         )
-        call.attempts += 1  # taken back where it is certain that nothing ran
-        near_bound = placement.begin_by_s - asyncio.get_running_loop().time() < NEAR_BOUND_S
+        call.attempts += 1  # undone if it is certain that nothing ran
+        near_deadline = placement.begin_by_s - asyncio.get_running_loop().time() < NEAR_DEADLINE_S
         try:
-            began = await self._parts.client.send(
+            began = await self._context.client.send(
                 server=placement.server,
                 own_call=placement.call,
                 head=call.head,
                 body=call.body,
                 attempt_id=call.request_id,
                 dispatch=dispatch,
-                fresh=not call.route.repeatable or near_bound or call.sends > 1,
-                connect_timeout_s=QUICK_CONNECT_S if near_bound else CONNECT_TIMEOUT_S,
+                fresh=not call.route.repeatable or near_deadline or call.sends > 1,
+                connect_timeout_s=QUICK_CONNECT_TIMEOUT_S if near_deadline else CONNECT_TIMEOUT_S,
             )
         except asyncio.CancelledError:
             if not placement.call.sent:
-                self._take_back()
+                self._uncount()
             raise
         if began.is_err():
-            return Err(self._note_failure(began.unwrap_err()))
+            return Err(self._record_attempt_failure(began.unwrap_err()))
         exchange = began.unwrap()
         self.source = EventSource(exchange=exchange)
         if exchange.metadata.not_executed or exchange.status == HTTPStatus.MISDIRECTED_REQUEST:
-            return Err(self._note_refused(exchange))
+            return Err(self._record_refusal(exchange))
         if exchange.status != HTTPStatus.OK or not exchange.metadata.signed:
-            return Err(self._note_failed_answer(exchange))
+            return Err(self._record_failed_response(exchange))
         return Ok(self.source)
 
     def close(self) -> None:
-        """Give the place back, and let the engine stop where it still works."""
+        """Release the placement, and cancel the request if the engine still runs it."""
         if self.source is not None:
             self.source.exchange.abort()
-        if not self._judged:
+        if not self._health_updated:
             self.placement.server.health.record_inconclusive()
-        self._parts.queue.release(self.placement)
+        self._context.queue.release(self.placement)
 
     def last_received_s(self) -> float:
-        """Give when the engine was asked or last heard, by the clock of what could be heard."""
+        """Return when the request was sent or bytes last arrived, in active time."""
         return self.sent_s if self.source is None else self.source.last_received_s
 
     def first_event_timeout_s(self) -> float:
-        """Give the silence that is expected before the first event."""
+        """Return the longest expected silence before the first event."""
         return max(
             self._call.route.objective_ms / 1000,
             FIRST_EVENT_FACTOR * self.placement.call.predicted_ms / 1000,
-            SHORTEST_STALL_S,
+            MIN_SILENCE_S,
         )
 
     def silence_timeout_s(self) -> float:
-        """Give the silence that is expected at most where the stream stands now."""
+        """Return the longest expected silence at the current position in the stream."""
         if self.placement.call.in_prefill:
             return self.first_event_timeout_s()
-        return max(SHORTEST_STALL_S, STALL_FACTOR * self._call.route.pause_objective_ms / 1000)
+        return max(MIN_SILENCE_S, SILENCE_FACTOR * self._call.route.pause_objective_ms / 1000)
 
     def record_complete(self) -> None:
-        """Note that the stream came to its end."""
+        """Record that the stream was complete."""
         assert self.source is not None
-        self._judged = True
+        self._health_updated = True
         self.placement.server.health.record_success()
         if self.source.exchange.response.head.framing is not Framing.UNTIL_CLOSE:
-            self._parts.suspects.record_success(self.placement.server, self._call.fingerprint)
+            self._context.suspects.record_success(self.placement.server, self._call.fingerprint)
 
     def record_silence(self) -> None:
-        """Note an engine that writes nothing; new requests should rather go elsewhere."""
-        self._tried.instances.add(self.instance)
-        if self._noted:
+        """Record that the engine is silent, so that new requests prefer other engines."""
+        self._excluded.instances.add(self.instance)
+        if self._failure_recorded:
             return
-        self._parts.suspects.record_interruption(self.placement.server, self._call.fingerprint)
-        self._learn_failure()
-        log.warning("engine is silent", **self._fields())
+        self._context.suspects.record_interruption(self.placement.server, self._call.fingerprint)
+        self._record_failure()
+        log.warning("engine is silent", **self._log_fields())
 
     def record_lost(self, failure: Failure) -> None:
-        """Note an engine that was sent the request and did not bring it to its end."""
-        self._tried.instances.add(self.instance)
-        self._tried.lost_domains.add(self.placement.server.instance.failure_domain)
-        self._parts.suspects.record_interruption(self.placement.server, self._call.fingerprint)
-        self._learn_failure()
-        log.warning("stream broken", **self._fields(), failure=str(failure))
-
-    def _learn_failure(self) -> None:
-        """Take one failure into account, whether it shows as silence or as an end or as both."""
-        if self._noted:
+        """Record that the engine got the request and did not complete it."""
+        self._excluded.instances.add(self.instance)
+        self._excluded.lost_domains.add(self.placement.server.instance.failure_domain)
+        self._context.suspects.record_interruption(self.placement.server, self._call.fingerprint)
+        self._record_failure()
+        log.warning("stream broken", **self._log_fields(), failure=str(failure))
+
+    def _record_failure(self) -> None:
+        """Count one failure of the engine, even if it shows both as silence and a broken stream."""
+        if self._failure_recorded:
             return
-        self._noted = self._judged = True
+        self._failure_recorded = self._health_updated = True
         server, now_s = self.placement.server, asyncio.get_running_loop().time()
         server.record_interruption(now_s)
         if self.placement.call.in_prefill:
-            late_ms = active_time.active_since_s(self.placement.call.placed_s) * 1000
-            late_ms -= self.placement.call.predicted_ms
-            server.record_lateness(max(0.0, late_ms), now_s)
+            lateness_ms = active_time.heard_since_s(self.placement.call.placed_s) * 1000
+            lateness_ms -= self.placement.call.predicted_ms
+            server.record_lateness(max(0.0, lateness_ms), now_s)
 
-    def _fields(self) -> dict[str, object]:
+    def _log_fields(self) -> dict[str, object]:
         call = self._call
         return {
             "request": call.request_id,
@@ -247,10 +247,10 @@
             "held_up_ms": round(call.stalled_s() * 1000),
         }
 
-    def _note_failed_answer(self, exchange: Exchange) -> Failure:
-        self._judged = True
+    def _record_failed_response(self, exchange: Exchange) -> Failure:
+        self._health_updated = True
         self.placement.server.health.record_failure(asyncio.get_running_loop().time())
-        self._tried.instances.add(self.instance)
+        self._excluded.instances.add(self.instance)
         self.failed_response = exchange
         log.warning(
             "engine failed",
@@ -261,42 +261,46 @@
         )
         return Failure(code=Code.ENGINE_FAILED, detail=f"status {exchange.status}")
 
-    def _note_failure(self, failed: AttemptFailure) -> Failure:
-        if failed.may_have_run:
-            self.record_lost(failed.failure)
-            return failed.failure
-        self._tried.instances.add(self.instance)
-        if failed.end is AttemptEnd.WITHHELD:
-            self._take_back()
-            log.info("engine withheld", request=self._call.request_id, failure=str(failed.failure))
-            return failed.failure
+    def _record_attempt_failure(self, error: AttemptFailure) -> Failure:
+        if error.may_have_run:
+            self.record_lost(error.failure)
+            return error.failure
+        self._excluded.instances.add(self.instance)
+        if error.end is AttemptEnd.WITHHELD:
+            self._uncount()
+            log.info(
+                "request not sent to the engine",
+                request=self._call.request_id,
+                failure=str(error.failure),
+            )
+            return error.failure
         self._call.attempts -= 1
-        if failed.end is AttemptEnd.NOT_SENT:
-            self._judged = True
+        if error.end is AttemptEnd.NOT_SENT:
+            self._health_updated = True
             self.placement.server.health.record_unreachable(asyncio.get_running_loop().time())
         log.warning(
             "attempt not sent",
             request=self._call.request_id,
             instance=self.instance,
-            failure=str(failed.failure),
+            failure=str(error.failure),
         )
-        return failed.failure
+        return error.failure
 
-    def _take_back(self) -> None:
-        """Count the attempt no more, since nothing of it was sent."""
+    def _uncount(self) -> None:
+        """Uncount the attempt, because nothing of it was sent."""
         self._call.attempts -= 1
         self._call.sends -= 1
         if self._call.sends:
-            self._parts.budget.refund(self._call.service)
+            self._context.budget.refund(self._call.service)
 
-    def _note_refused(self, exchange: Exchange) -> Failure:
-        """Take an engine's word that it did not run the request."""
+    def _record_refusal(self, exchange: Exchange) -> Failure:
+        """Record that the engine states that it did not run the request."""
         self._call.attempts -= 1
-        self._tried.instances.add(self.instance)
+        self._excluded.instances.add(self.instance)
         if exchange.metadata.instance not in (None, self.instance):
-            self._parts.directory.record_instance_mismatch(self.instance)
+            self._context.directory.record_instance_mismatch(self.instance)
         log.info(
-            "engine refused",
+            "engine refused the request",
             request=self._call.request_id,
             instance=self.instance,
             status=exchange.status,
@@ -305,4 +309,4 @@
         return Failure(code=Code.BACKEND_REFUSED, detail=f"status {exchange.status}")
 
 
-__all__ = ["StreamAttempt", "StreamParts", "TriedEngines"]
+__all__ = ["ExcludedEngines", "StreamAttempt", "StreamContext"]
--- a/src/leadhollow/forward/stream_forwarder.py
+++ b/src/leadhollow/forward/stream_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards a stream: events are passed on whole, and a broken stream goes on elsewhere."""
+"""Forwards streams: relays complete events, and resumes a broken stream at another engine."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from leadhollow.observe.logs import get_logger
 from leadhollow.routing.model import ServiceRecord
 
-MOST_SENDS = 6  # refusals in the servers' own words included
+MAX_SENDS = 6  # including sends that servers refused
 
 log = get_logger("stream")
 
@@ -32,234 +32,236 @@
 class StreamForwarder:
     """Forwards the streams of one entry."""
 
-    __slots__ = ("_deadlines", "_ending", "_parts")
+    __slots__ = ("_context", "_deadlines", "_responder")
 
     def __init__(self, *, context: StreamContext, responder: FailureResponder) -> None:
-        self._parts = context
-        self._ending = responder
+        self._context = context
+        self._responder = responder
         self._deadlines = CallerRetryDetector()
 
     async def run(self, call: ForwardedCall, service: ServiceRecord) -> None:
-        """Forward one stream to its end."""
+        """Forward one stream and complete or abort its reply."""
         deadline_ms = call.metadata.deadline_ms
-        came_back = deadline_ms is not None and self._deadlines.is_retry(
+        is_caller_retry = deadline_ms is not None and self._deadlines.is_retry(
             call.route.name, deadline_ms=deadline_ms, timeout_ms=call.route.timeout_ms
         )
-        run = _StreamRun(
-            parts=self._parts,
-            ending=self._ending,
+        run = _StreamCall(
+            context=self._context,
+            responder=self._responder,
             call=call,
             service=service,
-            came_back=came_back,
+            is_caller_retry=is_caller_retry,
         )
         await run.run()
 
 
-class _StreamRun:
-    """One stream; it may be written by several engines one after the other."""
+class _StreamCall:
+    """State of one stream, which several engines may serve one after another."""
 
     __slots__ = (
         "_call",
-        "_came_back",
-        "_ending",
+        "_context",
+        "_excluded",
         "_failure",
-        "_next",
-        "_parts",
+        "_hedge",
+        "_is_caller_retry",
+        "_next_attempt",
         "_quarantine",
         "_relay",
-        "_second",
+        "_responder",
         "_service",
-        "_tried",
     )
 
     def __init__(
         self,
         *,
-        parts: StreamContext,
-        ending: FailureResponder,
+        context: StreamContext,
+        responder: FailureResponder,
         call: ForwardedCall,
         service: ServiceRecord,
-        came_back: bool,
+        is_caller_retry: bool,
     ) -> None:
-        self._came_back = came_back
-        self._parts = parts
-        self._ending = ending
+        self._is_caller_retry = is_caller_retry
+        self._context = context
+        self._responder = responder
         self._call = call
         self._service = service
-        self._quarantine = parts.suspects.quarantine
-        self._tried = ExcludedEngines()
+        self._quarantine = context.suspects.quarantine
+        self._excluded = ExcludedEngines()
         self._failure = Failure(code=Code.NO_CAPACITY)
         self._relay = StreamRelay(call=call)
-        self._second = StreamHedge(
-            relay=self._relay, find_engine=self._place, may_send=self._may_try
+        self._hedge = StreamHedge(
+            relay=self._relay, find_engine=self._place_attempt, may_send=self._may_send
         )
-        self._next: StreamAttempt | None = None  # asked beside the last one, and at work
+        self._next_attempt: StreamAttempt | None = None  # a successful hedge
 
     async def run(self) -> None:
-        """Try engines until the stream is complete or given up."""
+        """Try engines until the stream is complete or abandoned."""
         call = self._call
         try:
             async with deadline_at(call.deadline_s) as limit:
                 with self._quarantine.track(call, limit):
-                    while not await self._attempt():
+                    while not await self._serve_next():
                         pass
         except TimeoutError:
             if self._quarantine.is_quarantined(call):
-                await self._ending.quarantined(call)
+                await self._responder.quarantined(call)
             else:
-                await self._ending.timed_out(call)
+                await self._responder.timed_out(call)
         finally:
-            self._second.cancel()
-            if self._next is not None:
-                self._next.close()
-
-    async def _attempt(self) -> bool:
-        """Let one engine run the request; True where the request has its ending."""
-        attempt, self._next = self._next, None
-        attempt = attempt or await self._second.result() or await self._place()
+            self._hedge.cancel()
+            if self._next_attempt is not None:
+                self._next_attempt.close()
+
+    async def _serve_next(self) -> bool:
+        """Let one engine serve the request; return whether the request has ended."""
+        attempt, self._next_attempt = self._next_attempt, None
+        attempt = attempt or await self._hedge.result() or await self._place_attempt()
         if attempt is None:
-            await self._give_up()
+            await self._abandon()
             return True
         self._relay.owner = attempt
         try:
             async with asyncio.timeout(None) as scope:
-                with self._watched(attempt, scope):
-                    return await self._take(attempt)
+                with self._monitored(attempt, scope):
+                    return await self._serve(attempt)
         except TimeoutError:
             if not scope.expired():
                 raise
             if self._relay.owner is None:
-                self._lost(attempt, Failure(code=Code.WEIGHTS_TOO_OLD))
+                self._record_lost(attempt, Failure(code=Code.WEIGHTS_TOO_OLD))
             return False
         finally:
             attempt.close()
 
-    async def _place(self) -> StreamAttempt | None:
-        """Find a place for the request, where it may be sent to another engine."""
+    async def _place_attempt(self) -> StreamAttempt | None:
+        """Get a placement for another attempt; None if the request may not be sent again."""
         call = self._call
-        if self._may_try():
+        if self._may_send():
             await self._quarantine.wait_for_verdict(call)
-        if not self._may_try():
+        if not self._may_send():
             return None
-        placed = await wait_for_placement(self._parts.queue, self._wish())
+        placed = await wait_for_placement(self._context.queue, self._engine_request())
         if placed.is_err():
             self._failure = placed.unwrap_err()
             return None
         placement = placed.unwrap()
-        if call.sends and not self._parts.budget.try_acquire(call.service):
-            self._parts.queue.release(placement)
+        if call.sends and not self._context.budget.try_acquire(call.service):
+            self._context.queue.release(placement)
             self._failure = Failure(code=Code.RETRIES_EXHAUSTED)
             return None
         call.sends += 1
         return StreamAttempt(
-            context=self._parts, call=call, placement=placement, excluded=self._tried
+            context=self._context, call=call, placement=placement, excluded=self._excluded
         )
 
     @contextmanager
-    def _watched(self, attempt: StreamAttempt, scope: asyncio.Timeout) -> Iterator[None]:
-        """Watch an engine that is at work.
+    def _monitored(self, attempt: StreamAttempt, scope: asyncio.Timeout) -> Iterator[None]:
+        """Monitor a serving engine for silence and for weights that become too old.
 
         Parameters
         ----------
         scope
-            Of the attempt; it is brought forward where another engine goes on, or its weights
-            become too old before it has begun.
+            Timeout of the attempt; it is rescheduled to now when another engine takes over, or
+            when the weights become too old before the first event.
         """
         loop = asyncio.get_running_loop()
 
-        def end() -> None:
+        def stop_attempt() -> None:
             if not scope.expired():
                 scope.reschedule(loop.time())
 
-        def too_old() -> None:
+        def on_too_old() -> None:
             if attempt.awaiting_first_event and self._relay.owner is attempt:
-                self._relay.owner = None  # what it brings from now on is not passed on
-                end()
+                self._relay.owner = None  # its later events are dropped
+                stop_attempt()
 
-        def heard_s() -> float:
+        def last_received_s() -> float:
             return max(attempt.last_received_s(), self._relay.last_sent_s)
 
-        def silent() -> None:
+        def on_silent() -> None:
             if self._relay.writing:
-                return  # its caller is slow, the engine may not be
+                return  # the caller is slow, which says nothing about the engine
             attempt.record_silence()
-            if self._may_try():
-                self._second.start(self._call.request_id, end)
+            if self._may_send():
+                self._hedge.start(self._call.request_id, stop_attempt)
 
-        watch = SilenceMonitor(
-            last_received_s=heard_s, timeout_s=attempt.silence_timeout_s, on_silent=silent
+        monitor = SilenceMonitor(
+            last_received_s=last_received_s,
+            timeout_s=attempt.silence_timeout_s,
+            on_silent=on_silent,
         )
-        bound = DeadlineTimer(when_s=attempt.placement.begin_by_s, callback=too_old)
+        deadline = DeadlineTimer(when_s=attempt.placement.begin_by_s, callback=on_too_old)
         try:
             yield
         finally:
-            watch.stop()
-            bound.cancel()
+            monitor.stop()
+            deadline.cancel()
 
-    async def _take(self, attempt: StreamAttempt) -> bool:
-        """Pass on what an engine answers; True where the request has its ending."""
+    async def _serve(self, attempt: StreamAttempt) -> bool:
+        """Relay the response of an engine; return whether the request has ended."""
         if attempt.source is None:
             opened = await attempt.open(last_event_id=self._relay.last_event_id)
             if opened.is_err():
                 self._failure = opened.unwrap_err()
-                return await self._take_failure(attempt)
+                return await self._relay_failure(attempt)
         assert attempt.source is not None
         relayed = await self._relay.run(attempt, attempt.placement, attempt.source)
         if relayed.is_ok():
             attempt.record_complete()
             return True
         if self._relay.owner is attempt:
-            self._lost(attempt, relayed.unwrap_err())
+            self._record_lost(attempt, relayed.unwrap_err())
         return False
 
-    async def _take_failure(self, attempt: StreamAttempt) -> bool:
-        """Pass on an engine's own failure, unless another engine may try."""
+    async def _relay_failure(self, attempt: StreamAttempt) -> bool:
+        """Relay an engine's failure response, unless another engine may serve the request."""
         exchange = attempt.failed_response
-        if exchange is None or self._may_try() or self._relay.started:
+        if exchange is None or self._may_send() or self._relay.started:
             return False
-        self._next = await self._second.result()
-        if self._next is not None:
+        self._next_attempt = await self._hedge.result()
+        if self._next_attempt is not None:
             return False
         if not exchange.metadata.signed and exchange.status < HTTPStatus.BAD_REQUEST:
             return False
         passed = await relay_response(self._call, exchange)
         if passed.is_err():
-            self._ending.broken_off(self._call, passed.unwrap_err())
+            self._responder.broken_off(self._call, passed.unwrap_err())
         return True
 
-    def _lost(self, attempt: StreamAttempt, failure: Failure) -> None:
+    def _record_lost(self, attempt: StreamAttempt, failure: Failure) -> None:
         self._failure = failure
         attempt.record_lost(failure)
 
-    def _may_try(self) -> bool:
+    def _may_send(self) -> bool:
         call = self._call
         if self._quarantine.is_quarantined(call):
             return False
         if call.sends == 0:
             return True
-        if call.sends >= MOST_SENDS or call.attempts >= call.route.attempts:
+        if call.sends >= MAX_SENDS or call.attempts >= call.route.attempts:
             return False
         return call.attempts == 0 or (call.route.repeatable and call.body.complete)
 
-    async def _give_up(self) -> None:
+    async def _abandon(self) -> None:
         call = self._call
         if self._quarantine.is_quarantined(call):
-            await self._ending.quarantined(call)
+            await self._responder.quarantined(call)
         elif call.attempts == 0:
-            retry_after_s = self._parts.queue.retry_after_s(self._wish())
-            await self._ending.not_run(call, self._failure, retry_after_s=retry_after_s)
+            retry_after_s = self._context.queue.retry_after_s(self._engine_request())
+            await self._responder.not_run(call, self._failure, retry_after_s=retry_after_s)
         else:
-            await self._ending.unknown(call, self._failure)
+            await self._responder.unknown(call, self._failure)
 
-    def _wish(self) -> EngineRequest:
+    def _engine_request(self) -> EngineRequest:
         return make_engine_request(
             self._call,
             self._service,
             now_s=asyncio.get_running_loop().time(),
-            came_back=self._came_back,
+            is_caller_retry=self._is_caller_retry,
             last_event_s=self._relay.last_event_s,
-            excluded=self._tried.instances,
-            lost_domains=self._tried.lost_domains,
+            excluded=self._excluded.instances,
+            lost_domains=self._excluded.lost_domains,
         )
 
 
--- a/src/leadhollow/forward/stream_hedge.py
+++ b/src/leadhollow/forward/stream_hedge.py
@@ -1,4 +1,4 @@
-"""An engine that is asked beside a silent one; whoever has the next event first goes on."""
+"""Hedges a stream whose engine is silent; the first engine with the next event serves it."""
 
 from __future__ import annotations
 
@@ -15,64 +15,64 @@
 
 log = get_logger("stream")
 
-Placer = Callable[[], Awaitable[StreamAttempt | None]]
+EngineFinder = Callable[[], Awaitable[StreamAttempt | None]]
 
 
 class StreamHedge:
-    """Asks engines beside the one that is silent, one at a time.
+    """Tries other engines while one is silent, one at a time.
 
     Parameters
     ----------
-    place
-        Finds a place at another engine; None where the request may not be sent to one.
-    may_ask
-        Tells whether the request may be sent once more.
+    find_engine
+        Returns an attempt at another engine; None if the request may not be sent to one.
+    may_send
+        Returns whether the request may be sent once more.
     """
 
-    __slots__ = ("_may_ask", "_on_first", "_place", "_relay", "_task")
+    __slots__ = ("_find_engine", "_may_send", "_on_takeover", "_relay", "_task")
 
     def __init__(
-        self, *, relay: StreamRelay, find_engine: Placer, may_send: Callable[[], bool]
+        self, *, relay: StreamRelay, find_engine: EngineFinder, may_send: Callable[[], bool]
     ) -> None:
         self._relay = relay
-        self._may_ask = may_send
-        self._place = find_engine
+        self._may_send = may_send
+        self._find_engine = find_engine
         self._task: asyncio.Task[StreamAttempt | None] | None = None
-        self._on_first: Callable[[], None] = _nothing
+        self._on_takeover: Callable[[], None] = _nothing
 
     @property
     def active(self) -> bool:
-        """Whether one is being asked, or has an event that was not taken yet."""
+        """Whether a hedge is running, or its result has not been taken yet."""
         return self._task is not None
 
     def start(self, request: str, on_takeover: Callable[[], None]) -> None:
-        """Ask another engine, unless one is being asked.
+        """Start a hedge, unless one is active.
 
         Parameters
         ----------
-        on_first
-            Called when it has the next event and goes on with the stream.
+        on_takeover
+            Called when the other engine has the next event and takes over the stream.
         """
         if self._task is not None:
             return
-        self._on_first = on_takeover
+        self._on_takeover = on_takeover
         self._relay.on_progress = self.cancel
         self._task = asyncio.get_running_loop().create_task(self._run(request))
-        self._task.add_done_callback(self._ended)
+        self._task.add_done_callback(self._on_done)
 
     async def result(self) -> StreamAttempt | None:
-        """Wait for the engine that was asked; None where there is none, or it has no event."""
+        """Wait for the active hedge; None if there is none or it got no event."""
         task = self._task
         if task is None:
             return None
-        self._on_first = _nothing
+        self._on_takeover = _nothing
         self._relay.on_progress = None
         await asyncio.wait([task])
         self._task = None
         return None if task.cancelled() or task.exception() else task.result()
 
     def cancel(self) -> None:
-        """Let the engine stop, where one was asked: the first one went on, or nobody reads on."""
+        """Cancel the active hedge, because the first engine continued or the stream has ended."""
         task, self._task = self._task, None
         self._relay.on_progress = None
         if task is None or task.cancel() or task.cancelled():
@@ -81,47 +81,50 @@
         if attempt is not None:
             attempt.close()
 
-    def _ended(self, task: asyncio.Task[StreamAttempt | None]) -> None:
-        """Be ready to ask again where nothing came of it."""
+    def _on_done(self, task: asyncio.Task[StreamAttempt | None]) -> None:
+        """Allow another hedge if this one got no event."""
         if task.cancelled():
             return
         error = task.exception()
         if error is not None:
-            log.error("asking another engine failed", error=repr(error))
+            log.error("hedge failed", error=repr(error))
         if self._task is task and (error is not None or task.result() is None):
             self._task = None
             self._relay.on_progress = None
 
     async def _run(self, request: str) -> StreamAttempt | None:
-        passed = self._relay.batches_sent
+        batches_sent = self._relay.batches_sent
         clock = active_time.clock()
         while True:
-            held_before_s = clock.stalled_s()
-            attempt = await self._place()
+            stalled_before_s = clock.stalled_s()
+            attempt = await self._find_engine()
             if attempt is None:
                 return None
-            chosen = False
+            takes_over = False
             try:
-                if clock.stalled_s() > held_before_s:
-                    await asyncio.sleep(INPUT_GRACE_S)  # the first one may have gone on meanwhile
-                found = await self._first_events(attempt)
-                if self._relay.batches_sent != passed:
-                    return None  # the first one went on
+                if clock.stalled_s() > stalled_before_s:
+                    # events of the first engine may have arrived while the event loop stalled
+                    await asyncio.sleep(INPUT_GRACE_S)
+                found = await self._receive_events(attempt)
+                if self._relay.batches_sent != batches_sent:
+                    return None  # the first engine continued
                 if found:
-                    log.info("another engine goes on", request=request, instance=attempt.instance)
+                    log.info(
+                        "another engine takes over", request=request, instance=attempt.instance
+                    )
                     self._relay.owner = attempt
-                    self._on_first()
-                    chosen = True
+                    self._on_takeover()
+                    takes_over = True
                     return attempt
             finally:
-                if not chosen:
+                if not takes_over:
                     attempt.close()
 
-    async def _first_events(self, attempt: StreamAttempt) -> bool:
-        """Wait for the next events of another engine; True where they have come, or its end."""
+    async def _receive_events(self, attempt: StreamAttempt) -> bool:
+        """Wait for the next events or the end of the stream; return whether they have arrived."""
         try:
             async with deadline_at(attempt.placement.begin_by_s) as limit:
-                with self._watched(attempt, limit):
+                with self._monitored(attempt, limit):
                     opened = await attempt.open(last_event_id=self._relay.last_event_id)
                     if opened.is_err():
                         return False
@@ -138,27 +141,27 @@
         return True
 
     @contextmanager
-    def _watched(self, attempt: StreamAttempt, limit: asyncio.Timeout) -> Iterator[None]:
-        """Give an engine up that is silent too, where the request may be sent to one more."""
+    def _monitored(self, attempt: StreamAttempt, limit: asyncio.Timeout) -> Iterator[None]:
+        """Abandon an engine that is silent too, if the request may be sent once more."""
 
-        def silent() -> None:
+        def on_silent() -> None:
             attempt.record_silence()
-            if self._may_ask() and not limit.expired():
+            if self._may_send() and not limit.expired():
                 limit.reschedule(asyncio.get_running_loop().time())
 
-        watch = SilenceMonitor(
+        monitor = SilenceMonitor(
             last_received_s=attempt.last_received_s,
             timeout_s=attempt.first_event_timeout_s,
-            on_silent=silent,
+            on_silent=on_silent,
         )
         try:
             yield
         finally:
-            watch.stop()
+            monitor.stop()
 
 
 def _nothing() -> None:
     return
 
 
-__all__ = ["SecondEngine"]
+__all__ = ["StreamHedge"]
--- a/src/leadhollow/forward/stream_relay.py
+++ b/src/leadhollow/forward/stream_relay.py
@@ -1,4 +1,4 @@
-"""Passes one stream on to its caller: whole events, in order, of one engine after the other."""
+"""Relays complete events of one engine after another to a caller, in order and without gaps."""
 
 from __future__ import annotations
 
@@ -24,26 +24,27 @@
 
 
 class StreamRelay:
-    """What a caller has got of its stream so far.
+    """Relays one stream and tracks what its caller has got of it.
 
     Attributes
     ----------
-    begun
-        Whether the caller has got the head of the answer.
+    started
+        Whether the head of the response has been sent to the caller.
     last_event_s
-        Loop time at which the caller got its last event; None where it has got none.
-    last_id
-        Number of the last event that was passed on, or after which the caller asked to go on.
-    passed
-        How often events were passed on.
-    taken_s
-        When the caller last took what was passed on, by the clock of what could be heard.
+        Loop time at which the caller got its last event; None if it has got none.
+    last_event_id
+        Id of the last event that was relayed, or after which the caller asked to resume.
+    batches_sent
+        Number of batches of events that were relayed.
+    last_sent_s
+        When the last write to the caller completed, in active time, which excludes stalls of the
+        event loop.
     writing
-        Whether events wait for the caller to read.
+        Whether a write waits for the caller to read.
     owner
-        The attempt whose events are passed on; what any other one brings is dropped.
+        Attempt whose events are relayed; events of any other attempt are dropped.
     on_progress
-        Called each time before events are passed on.
+        Called before each batch of events is relayed.
     """
 
     __slots__ = (
@@ -51,13 +52,13 @@
         "_clock",
         "_first_event_s",
         "_longest_pause_s",
-        "started",
-        "last_event_s",
+        "batches_sent",
         "last_event_id",
+        "last_event_s",
+        "last_sent_s",
         "on_progress",
         "owner",
-        "batches_sent",
-        "last_sent_s",
+        "started",
         "writing",
     )
 
@@ -78,14 +79,14 @@
     async def run(
         self, attempt: object, placement: Placement, source: EventSource
     ) -> Result[None, Failure]:
-        """Pass whole events on until the stream ends, or the attempt does not own it any more.
+        """Relay complete events until the stream ends or another attempt becomes the owner.
 
         Errors
         ------
         BACKEND_LOST
-            The engine broke off, or ended within an event; or another one goes on.
+            The engine broke off the stream or ended within an event, or another engine took over.
         ENGINE_FAILED
-            Its events are out of order, or too large.
+            An event is out of order or too large.
         """
         call = self._call
         call.last_instance = placement.server.instance.instance
@@ -100,23 +101,23 @@
                 self._finish(placement, source.exchange)
                 return Ok(None)
             if not self._in_order(events):
-                order = Failure(code=Code.ENGINE_FAILED, detail="events are out of order")
-                return Err(order)
+                failure = Failure(code=Code.ENGINE_FAILED, detail="events are out of order")
+                return Err(failure)
             if placement.call.in_prefill:
                 placement.server.record_first_event(placement.call)
                 placement.server.health.record_first_event()
-                self._note_first_event(placement)
+                self._record_first_event(placement)
             self.batches_sent += 1
             if self.on_progress is not None:
                 self.on_progress()
             self._begin_reply(source.exchange)
-            self._note_pause()
+            self._record_pause()
             self.writing = True
             await call.reply.write(b"".join(event.data for event in events))
             self.writing = False
             self.last_sent_s = self._clock.active_s()
 
-    def _note_pause(self) -> None:
+    def _record_pause(self) -> None:
         now_s = asyncio.get_running_loop().time()
         self._call.last_contact_s = now_s
         if self.last_event_s is not None:
@@ -124,7 +125,7 @@
         self.last_event_s = now_s
 
     def _in_order(self, events: list[Event]) -> bool:
-        """Check that events follow on each other without a gap or a repeat."""
+        """Return whether the event ids continue those already relayed without a gap or a repeat."""
         last_id = self.last_event_id
         for event in events:
             if event.event_id is None:
@@ -139,7 +140,7 @@
         self._begin_reply(exchange)
         self._call.reply.finish()
         exchange.finish()
-        self._log_done(placement)
+        self._log_complete(placement)
 
     def _begin_reply(self, exchange: Exchange) -> None:
         if self.started:
@@ -148,11 +149,11 @@
         head = exchange.response.head
         length = head.content_length if head.framing is Framing.LENGTH else None
         fields = relayed_headers(exchange)
-        # a stream that another engine may have to go on with must not declare a length
+        # another engine may resume a repeatable stream, so its length is not known
         length = None if self._call.route.repeatable else length
         self._call.reply.start(head.status, fields, reason=head.reason, content_length=length)
 
-    def _note_first_event(self, placement: Placement) -> None:
+    def _record_first_event(self, placement: Placement) -> None:
         now_s = asyncio.get_running_loop().time()
         self._first_event_s = self._first_event_s or now_s
         took_ms = self._clock.active_since_s(placement.call.placed_s) * 1000
@@ -166,7 +167,7 @@
             predicted_ms=round(placement.call.predicted_ms),
         )
 
-    def _log_done(self, placement: Placement) -> None:
+    def _log_complete(self, placement: Placement) -> None:
         now_s = asyncio.get_running_loop().time()
         log.info(
             "stream complete",
--- a/src/leadhollow/forward/suspect_sync.py
+++ b/src/leadhollow/forward/suspect_sync.py
@@ -1,4 +1,7 @@
-"""What this entry and all others know of requests that end servers: told, heard, and acted upon."""
+"""Synchronises this entry's suspect requests and quarantine verdicts with those of all entries.
+
+A suspect is a request that ran at a server that ended.
+"""
 
 from __future__ import annotations
 
@@ -24,33 +27,33 @@
 from leadhollow.wire.generated.ttypes import SuspectNews
 from leadhollow.wire.peers import PeerPool
 
-GATHER_S = 0.002  # the requests that one server broke off are told together
-REFRESH_S = 1.0  # how often the replica's mark is looked at
-WHOLE_PAUSE_S = 2.0
-"""Everything is told again at most this often, and only where the replica does not say the same: a
-table of usual size is a few hundred bytes."""
+BATCH_WINDOW_S = 0.002  # the requests that one server broke off are sent together
+REFRESH_S = 1.0  # between comparisons with the checksum of the replica's table
+FULL_UPDATE_INTERVAL_S = 2.0
+"""Minimum time between full updates, which are sent only if the replica's table differs. A table of
+usual size takes a few hundred bytes."""
 
-ALONE_SETTLE_S = 4 * SETTLE_S
-"""Until an entry that no control replica tells anything judges by itself: it knows only what ran
-here, but nobody else will judge."""
+LOCAL_VERDICT_DELAY_S = 4 * SETTLE_S
+"""Time after a server end until an entry without a control replica decides on its own. It knows
+only its own requests, but no other process will decide for it."""
 
 log = get_logger("quarantine")
 
 
 class SuspectSync(BatchingService):
-    """Keeps this entry's table like those of all others."""
+    """Keeps this entry's suspect table equal to those of all other entries."""
 
     __slots__ = (
         "_changed",
         "_feed",
-        "_good",
-        "_mark",
+        "_full_update_s",
         "_peers",
-        "_told",
-        "_whole_s",
+        "_replica_checksum",
+        "_successes",
+        "_synced_replica",
+        "end_detector",
         "quarantine",
         "table",
-        "end_detector",
     )
 
     def __init__(
@@ -65,30 +68,33 @@
         self.quarantine = Quarantine(table=self.table)
         self._feed = feed
         self._peers = peers
-        self._good = RecentSuccesses()
+        self._successes = RecentSuccesses()
         self.end_detector = ServerEndDetector(
-            directory=directory, pool=pool, successes=self._good, on_server_end=self._on_end
+            directory=directory,
+            pool=pool,
+            successes=self._successes,
+            on_server_end=self._on_server_end,
         )
         self._changed = SuspectChanges()
-        self._told = ""  # replica that was told everything
-        self._mark = 0  # of the replica's table, as it last said
-        self._whole_s = 0.0
-        feed.on_suspects(self._on_news)
+        self._synced_replica = ""  # replica that has got a full update
+        self._replica_checksum = 0  # of the replica's table, as last received
+        self._full_update_s = 0.0
+        feed.on_suspects(self._on_update)
         feed.catalog.on_change(self._on_catalog)
-        super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
+        super().__init__(batch_window_s=BATCH_WINDOW_S, refresh_s=REFRESH_S)
 
     async def stop(self) -> None:
-        """Look for no ends any more."""
+        """Stop synchronising and detecting server ends."""
         await super().stop()
         await self.end_detector.stop()
 
     def record_interruption(self, server: Server, fingerprint: bytes) -> None:
-        """Note a request that a server broke off."""
+        """Record a request that a server broke off or went silent on."""
         self.end_detector.record_interruption(server, fingerprint)
 
     def record_success(self, server: Server, fingerprint: bytes) -> None:
-        """Note a request whose answer came whole."""
-        self._good.add(fingerprint, asyncio.get_running_loop().time())
+        """Record a request whose response was complete."""
+        self._successes.add(fingerprint, asyncio.get_running_loop().time())
         if self.table.suspected_lives(fingerprint):
             self._clear(fingerprint)
         life = server.instance.life
@@ -103,62 +109,64 @@
         self._changed.lives |= lives
         self.note_change()
 
-    def _on_end(self, end: ServerEnd) -> None:
+    def _on_server_end(self, end: ServerEnd) -> None:
         if self.table.merge_end(end):
             self._changed.lives.add(end.life)
             self.note_change()
-            ActiveTimer(delay_s=ALONE_SETTLE_S, callback=self._judge_alone)
+            ActiveTimer(delay_s=LOCAL_VERDICT_DELAY_S, callback=self._decide_locally)
 
-    def _judge_alone(self) -> None:
+    def _decide_locally(self) -> None:
         if self._feed.source:
             return
-        made = {verdict.fingerprint for verdict in self.table.update_quarantine()}
-        self._changed.fingerprints |= made
-        self.quarantine.abort_calls(made)
+        quarantined = {verdict.fingerprint for verdict in self.table.update_quarantine()}
+        self._changed.fingerprints |= quarantined
+        self.quarantine.abort_calls(quarantined)
 
-    def _on_news(self, news: SuspectNews, whole: bool) -> None:
+    def _on_update(self, update: SuspectNews, whole: bool) -> None:
         now_s = asyncio.get_running_loop().time()
         if whole and not self.table.empty:
-            self._told = ""  # the replica may have begun anew: it is told everything
+            self._synced_replica = ""  # the replica may have restarted: send it a full update
             self.note_change()
-        self._mark = int(news.mark or 0)
-        taken = merge_news(self.table, news, now_s)
-        if taken.is_err():
-            log.warning("news of suspects not taken", failure=str(taken.unwrap_err()))
+        self._replica_checksum = int(update.mark or 0)
+        merged = take_news(self.table, update, now_s)
+        if merged.is_err():
+            log.warning("suspect update rejected", failure=str(merged.unwrap_err()))
             return
-        changed = taken.unwrap()
+        changed = merged.unwrap()
         self.quarantine.abort_calls(changed.fingerprints)
         for life in changed.lives:
             end = self.table.end(life)
             for fingerprint in () if end is None else end.suspects:
-                if self._good.contains(fingerprint, now_s):
+                if self._successes.contains(fingerprint, now_s):
                     self._clear(fingerprint)
 
     def _on_catalog(self, items: list[CatalogItem]) -> None:
         if any(isinstance(item.value, NamedVersion) and item.value.named for item in items):
-            self._good.clear()
+            self._successes.clear()
 
     async def _publish(self, *, whole: bool) -> None:
-        """Tell the replica that is followed what is news, or all where it does not know it."""
+        """Send changes to the followed replica, or the whole table if the replica's differs."""
         self.table.expire()
         source = self._feed.source
         if not source:
-            self._told = ""
+            self._synced_replica = ""
             return
         now_s = asyncio.get_running_loop().time()
-        unlike = whole and self._mark != self.table.checksum()
-        if source != self._told or (unlike and now_s - self._whole_s > WHOLE_PAUSE_S):
-            self._changed.merge(all_records(self.table))
-            self._whole_s = now_s
+        differs = whole and self._replica_checksum != self.table.checksum()
+        if source != self._synced_replica or (
+            differs and now_s - self._full_update_s > FULL_UPDATE_INTERVAL_S
+        ):
+            self._changed.merge(everything(self.table))
+            self._full_update_s = now_s
         if not self._changed:
-            self._told = source
+            self._synced_replica = source
             return
         connected = await self._peers.connection(source)
         if connected.is_err():
-            self._told = ""
+            self._synced_replica = ""
             return
         connected.unwrap().oneway(encode_news(self.table, self._changed.pop_all(), now_s))
-        self._told = source
+        self._synced_replica = source
 
 
-__all__ = ["SuspectExchange"]
+__all__ = ["SuspectSync"]
--- a/src/leadhollow/forward/use_reporter.py
+++ b/src/leadhollow/forward/use_reporter.py
@@ -1,4 +1,4 @@
-"""Tells the control replica that is followed what this entry has at each engine, and refused."""
+"""Reports to the followed control replica what this entry uses at engines and what it refused."""
 
 from __future__ import annotations
 
@@ -13,25 +13,32 @@
 from leadhollow.wire.generated.ttypes import ServiceDecisions, UseReport
 from leadhollow.wire.peers import PeerPool
 
-GATHER_S = 0.004  # changes within it travel together
-REFRESH_S = 0.5  # everything is told again this often: a report may have been lost
+BATCH_WINDOW_S = 0.004
+REFRESH_S = 0.5  # between full reports, because a report may have been lost
 
-
-DECISIONS_PAUSE_S = 0.1
-"""What was refused is told again after it, beside uses that travel anyway: a tenth of the time in
-which a refusal comes to count half."""
+DECISIONS_INTERVAL_S = 0.1
+"""Minimum time between reports of decisions, which are added to reports of uses: a tenth of the
+half-life with which refusals are weighted."""
 
 
 class UseReporter(BatchingService):
-    """Reports changes at once, and everything now and then.
+    """Reports changes at once, and everything periodically.
 
     Parameters
     ----------
     decisions
-        Gives what this entry decided lately on requests for each service.
+        Returns what this entry recently decided on requests for each service.
     """
 
-    __slots__ = ("_board", "_decisions", "_decisions_s", "_dirty", "_feed", "_peers", "_told")
+    __slots__ = (
+        "_changed_addresses",
+        "_decisions",
+        "_decisions_sent_s",
+        "_directory",
+        "_feed",
+        "_peers",
+        "_synced_replica",
+    )
 
     def __init__(
         self,
@@ -41,45 +48,47 @@
         feed: ControlFeed,
         peers: PeerPool,
     ) -> None:
-        self._board = directory
+        self._directory = directory
         self._decisions = decisions
-        self._decisions_s = 0.0
+        self._decisions_sent_s = 0.0
         self._feed = feed
         self._peers = peers
-        self._dirty: set[str] = set()
-        self._told = ""  # replica that knows everything
-        directory.on_use(self._note)
-        super().__init__(batch_window_s=GATHER_S, refresh_s=REFRESH_S)
+        self._changed_addresses: set[str] = set()
+        self._synced_replica = ""  # replica that has got a full report
+        directory.on_use(self._on_use)
+        super().__init__(batch_window_s=BATCH_WINDOW_S, refresh_s=REFRESH_S)
 
-    def _note(self, address: str) -> None:
-        self._dirty.add(address)
+    def _on_use(self, address: str) -> None:
+        self._changed_addresses.add(address)
         self.note_change()
 
     async def _publish(self, *, whole: bool) -> None:
         source = self._feed.source
-        told = await self._report(source, whole=whole or source != self._told)
-        self._told = source if told else ""
+        sent = await self._report(source, whole=whole or source != self._synced_replica)
+        self._synced_replica = source if sent else ""
 
     async def _report(self, source: str, *, whole: bool) -> bool:
-        dirty, self._dirty = self._dirty, set()
+        changed, self._changed_addresses = self._changed_addresses, set()
         if not source:
             return False
         connected = await self._peers.connection(source)
         if connected.is_err():
             return False
-        uses = {address: self._board.use(address) for address in sorted(dirty)}
+        uses = {address: self._directory.use(address) for address in sorted(changed)}
         if whole:
-            uses = {address: use for address, use in self._board.uses().items() if not use.is_empty}
+            uses = {
+                address: use for address, use in self._directory.uses().items() if not use.is_empty
+            }
         engines, records = encode_uses(uses)
-        connected.unwrap().oneway(UseReport(engines, records, whole, self._news()))
+        connected.unwrap().oneway(UseReport(engines, records, whole, self._decision_report()))
         return True
 
-    def _news(self) -> list[ServiceDecisions] | None:
-        """Give what was decided, unless it was told a moment ago."""
+    def _decision_report(self) -> list[ServiceDecisions] | None:
+        """Return recent decisions; None within ``DECISIONS_INTERVAL_S`` of the last time."""
         now_s = asyncio.get_running_loop().time()
-        if now_s - self._decisions_s < DECISIONS_PAUSE_S:
+        if now_s - self._decisions_sent_s < DECISIONS_INTERVAL_S:
             return None
-        self._decisions_s = now_s
+        self._decisions_sent_s = now_s
         return encode_decisions(self._decisions())
 
 
--- a/tests/forward/stream_world.py
+++ b/tests/forward/stream_world.py
@@ -1,4 +1,4 @@
-"""One stream of one caller before engines of a test, without a network and without a queue."""
+"""Runs one stream against fake engines, without a network and without an engine queue."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from leadhollow.forward.call import ForwardedCall
 from leadhollow.forward.exchange import AttemptEnd, AttemptFailure
 from leadhollow.forward.stream_attempt import StreamContext
-from leadhollow.forward.stream_forwarder import _StreamRun
+from leadhollow.forward.stream_forwarder import _StreamCall
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import Framing
 
@@ -31,7 +31,7 @@
 
 
 class FakeReply:
-    """What the caller got; it takes no more while ``gate`` is not set."""
+    """Records what the caller got; writes block while ``gate`` is an unset event."""
 
     def __init__(self) -> None:
         self.started = False
@@ -51,17 +51,17 @@
         self.finished = True
 
     def abort(self) -> None:
-        """The connection ends."""
+        """Close the connection."""
 
 
 class FakeExchange:
-    """An answer that a test writes; None breaks it off, ``b""`` ends it."""
+    """Response that a test writes; None breaks it off, ``b""`` ends it."""
 
     def __init__(self, *, status: int = 200) -> None:
         self.status = status
         self.closed = False
-        self.facts = SimpleNamespace(
-            not_executed=False, signed=True, instance=None, ours=frozenset()
+        self.metadata = SimpleNamespace(
+            not_executed=False, signed=True, instance=None, internal_fields=frozenset()
         )
         head = SimpleNamespace(
             status=status,
@@ -70,7 +70,7 @@
             content_length=None,
             headers=Headers(),
         )
-        self.answer = SimpleNamespace(head=head)
+        self.response = SimpleNamespace(head=head)
         self._parts: asyncio.Queue[bytes | None] = asyncio.Queue()
 
     def write(self, data: bytes | None) -> None:
@@ -88,38 +88,38 @@
 
 
 class FakeServer:
-    """What is learnt of an engine."""
+    """Records the health updates of an engine."""
 
     def __init__(self, name: str) -> None:
         self.instance = SimpleNamespace(instance=name, failure_domain="a", address=name)
         self.health = Health()
-        self.late_ms: list[float] = []
+        self.lateness_ms: list[float] = []
         self.broken = 0
 
     def record_first_event(self, call: OwnCall) -> None:
         call.in_prefill = False
 
-    def record_lateness(self, late_ms: float, _: float) -> None:
-        self.late_ms.append(late_ms)
+    def record_lateness(self, lateness_ms: float, _: float) -> None:
+        self.lateness_ms.append(lateness_ms)
 
     def record_interruption(self, _: float) -> None:
         self.broken += 1
 
 
 class StreamWorld:
-    """A stream, the engines that it may go to in order, and what became of both.
+    """One stream, the engines that it is placed at in order, and what happened to both.
 
     Attributes
     ----------
     sent, resumed_after
-        Engines that it was sent to, and the event after which each one was to go on.
+        Engines that the request was sent to, and the event id after which each was to resume.
     released
-        Engines whose places were given back.
+        Engines whose placements were released.
     endings
-        Answers of our own.
+        Error responses that the entry itself sent.
     connect_s, begin_by_s
-        For each engine the time until there is a connection, and the loop time until which its
-        first event must have come.
+        Time until each engine is connected, and loop time until which its first event must have
+        arrived.
     """
 
     def __init__(
@@ -131,7 +131,7 @@
         deadline_s: float = 4.0,
     ) -> None:
         self.servers = {name: FakeServer(name) for name in engines}
-        self.answers: dict[str, FakeExchange] = {}
+        self.responses: dict[str, FakeExchange] = {}
         self.sent: list[str] = []
         self.resumed_after: list[int | None] = []
         self.released: list[str] = []
@@ -139,35 +139,35 @@
         self.connect_s: dict[str, float] = {}
         self.begin_by_s: dict[str, float] = {}
         self.failing: set[str] = set()
-        self.failed_status: dict[str, int] = {}
+        self.error_status: dict[str, int] = {}
         self.fresh: dict[str, bool] = {}
         self.on_placed: Callable[[str], None] = lambda _: None
         self.reply = FakeReply()
-        self._asked: set[str] = set()
+        self._placed: set[str] = set()
         self.call = self._make_call(attempts, repeatable, deadline_s)
         quarantine = SimpleNamespace(
-            running=_running, holds=lambda _: False, wait_for_verdict=_nothing
+            track=_track, is_quarantined=lambda _: False, wait_for_verdict=_nothing
         )
-        parts = StreamContext(
+        context = StreamContext(
             directory=SimpleNamespace(),  # type: ignore[arg-type]
             budget=SimpleNamespace(try_acquire=lambda _: True, refund=lambda _: None),  # type: ignore[arg-type]
-            client=SimpleNamespace(begin=self._begin),  # type: ignore[arg-type]
+            client=SimpleNamespace(send=self._send),  # type: ignore[arg-type]
             queue=self,  # type: ignore[arg-type]
             suspects=SimpleNamespace(  # type: ignore[arg-type]
                 quarantine=quarantine,
-                note_broken=lambda *_: None,
-                note_good=lambda *_: None,
+                record_interruption=lambda *_: None,
+                record_success=lambda *_: None,
             ),
         )
         service = SimpleNamespace(name="s", engine=SimpleNamespace())
-        self.run = _StreamRun(
-            parts=parts,
-            ending=SimpleNamespace(  # type: ignore[arg-type]
-                **{name: self._ending(name) for name in ("unknown", "timed_out", "not_run")}
+        self.run = _StreamCall(
+            context=context,
+            responder=SimpleNamespace(  # type: ignore[arg-type]
+                **{name: self._record_ending(name) for name in ("unknown", "timed_out", "not_run")}
             ),
             call=self.call,
             service=service,  # type: ignore[arg-type]
-            came_back=False,
+            is_caller_retry=False,
         )
         self.task: asyncio.Task[None] | None = None
 
@@ -177,17 +177,19 @@
 
     @property
     def leaks(self) -> list[str]:
-        """Engines whose place or connection is still held."""
-        places = sorted(set(self._asked) - set(self.released))
-        return places + [name for name, answer in self.answers.items() if not answer.closed]
+        """Engines whose placement or connection was not released."""
+        places = sorted(set(self._placed) - set(self.released))
+        return places + [name for name, exchange in self.responses.items() if not exchange.closed]
 
-    # what the stream asks of the queue
+    # interface of the engine queue
 
-    def submit(self, wish: Any) -> Any:
-        name = next((one for one in self.servers if one not in wish.excluded | self._asked), None)
+    def submit(self, request: Any) -> Any:
+        name = next(
+            (found for found in self.servers if found not in request.excluded | self._placed), None
+        )
         placement = None
         if name is not None:
-            self._asked.add(name)
+            self._placed.add(name)
             self.on_placed(name)
             loop = asyncio.get_running_loop()
             self.servers[name].health.record_start(loop.time())
@@ -206,28 +208,28 @@
         self.released.append(placement.server.instance.instance)
 
     def withdraw(self, _: Any) -> None:
-        """Nobody waits."""
+        """Do nothing, because requests never wait."""
 
     def retry_after_s(self, _: Any) -> float:
         return 1.0
 
-    # engines
+    # interface of the backend client
 
-    async def _begin(
-        self, *, server: FakeServer, running: OwnCall, dispatch: Any, fresh: bool, **_: Any
+    async def _send(
+        self, *, server: FakeServer, own_call: OwnCall, dispatch: Any, fresh: bool, **_: Any
     ) -> Any:
         name = server.instance.instance
         self.fresh[name] = fresh
         await asyncio.sleep(self.connect_s.get(name, 0.0))
-        running.sent = True
+        own_call.sent = True
         self.sent.append(name)
         self.resumed_after.append(dispatch.last_event_id)
         if name in self.failing:
             return Err(AttemptFailure(end=AttemptEnd.UNKNOWN, failure=BROKEN))
-        answer = self.answers[name] = FakeExchange(status=self.failed_status.get(name, 200))
-        return Ok(answer)
+        exchange = self.responses[name] = FakeExchange(status=self.error_status.get(name, 200))
+        return Ok(exchange)
 
-    def _ending(self, name: str) -> Any:
+    def _record_ending(self, name: str) -> Any:
         async def end(*_: Any, **__: Any) -> None:
             self.endings.append(name)
 
@@ -243,7 +245,7 @@
             pause_objective_ms=400,
             priority=0,
         )
-        facts = SimpleNamespace(
+        metadata = SimpleNamespace(
             attempt_id="r1",
             deadline_ms=None,
             last_event_id=None,
@@ -254,8 +256,8 @@
         )
         return ForwardedCall(
             head=SimpleNamespace(),  # type: ignore[arg-type]
-            body=SimpleNamespace(whole=True),  # type: ignore[arg-type]
-            metadata=facts,  # type: ignore[arg-type]
+            body=SimpleNamespace(complete=True),  # type: ignore[arg-type]
+            metadata=metadata,  # type: ignore[arg-type]
             route=route,  # type: ignore[arg-type]
             service="s",
             organisation=None,
@@ -266,7 +268,7 @@
 
 
 @contextmanager
-def _running(*_: Any):
+def _track(*_: Any):
     yield
 
 
--- a/tests/forward/test_failure_response.py
+++ b/tests/forward/test_failure_response.py
@@ -1,4 +1,4 @@
-"""Why a request ended, as its line says it."""
+"""Reason why a request ended, as its log line states it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Lines:
-    """What was logged."""
+    """Records the fields of log lines."""
 
     def __init__(self) -> None:
         self.fields: list[dict[str, object]] = []
@@ -28,13 +28,13 @@
 
 @pytest.fixture
 def lines(monkeypatch) -> Lines:
-    made = Lines()
-    monkeypatch.setattr("leadhollow.forward.failure_response.log", made)
-    return made
+    captured = Lines()
+    monkeypatch.setattr("leadhollow.forward.failure_response.log", captured)
+    return captured
 
 
-class TestReason:
-    # Guards against: a line says that a server ended what this process took back.
+class TestLoggedReason:
+    # Guards against: the log line blames the server for a request that this process cancelled.
     @pytest.mark.parametrize(
         ("code", "attempts", "reason"),
         [
@@ -45,16 +45,16 @@
             (Code.DEADLINE_PASSED, 1, EndReason.ROUTE_TIMEOUT),
         ],
     )
-    async def test_is_that_of_the_failure(self, lines, code, attempts, reason):
+    async def test_follows_from_the_failure(self, lines, code, attempts, reason):
         call = StreamWorld().call
         call.attempts = attempts
         call.reply.started = True
-        ending = FailureResponder(dialect=Dialect())
-        await ending.unknown(call, Failure(code=code))
+        responder = FailureResponder(dialect=Dialect())
+        await responder.unknown(call, Failure(code=code))
         assert lines.fields[0]["reason"] == reason.value
-        assert ending.cut[reason] == 1
+        assert responder.truncated[reason] == 1
 
-    async def test_is_the_caller_s_deadline_where_that_came_first(self, lines):
+    async def test_is_the_callers_deadline_if_it_is_before_the_route_timeout(self, lines):
         call = StreamWorld().call
         call.deadline_s -= 1.0
         call.attempts, call.reply.started = 1, True
--- a/tests/forward/test_parts.py
+++ b/tests/forward/test_parts.py
@@ -1,4 +1,4 @@
-"""Small parts of the forwarding: budget, health, events, targets, the model of an engine."""
+"""Unit tests of retry budget, health, event splitting and the engine latency model."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class TestRetryBudget:
-    def test_of_all_entries_together_stays_below_the_slack(self):
+    def test_of_all_entries_together_stays_within_the_slack(self):
         clock = Clock()
         taken = 0
         for _ in range(4):
@@ -58,7 +58,7 @@
             pass
         assert part.try_acquire("b")
 
-    def test_comes_back_as_the_window_slides(self):
+    def test_is_refilled_as_the_window_slides(self):
         clock = Clock()
         part = budget(clock)
         while part.try_acquire("s"):
@@ -69,7 +69,7 @@
         assert part.try_acquire("s")
 
     @given(st.lists(st.tuples(st.floats(0, 3), st.booleans()), max_size=200))
-    def test_no_window_holds_more_than_is_allowed(self, steps):
+    def test_is_never_exceeded_within_a_window(self, steps):
         clock = Clock()
         part = budget(clock, entries=1)
         requests, repeats = [], []
@@ -80,13 +80,13 @@
             elif not repeat:
                 part.record_request("s")
                 requests.append(clock.now_s)
-            inside = [moment for moment in repeats if moment > clock.now_s - 10]
-            asked = [moment for moment in requests if moment > clock.now_s - 10]
-            assert len(inside) <= 100 + 0.2 * len(asked)
+            recent_repeats = [moment for moment in repeats if moment > clock.now_s - 10]
+            recent_requests = [moment for moment in requests if moment > clock.now_s - 10]
+            assert len(recent_repeats) <= 100 + 0.2 * len(recent_requests)
 
 
 class TestHealth:
-    def test_a_single_failure_changes_nothing(self):
+    def test_a_single_failure_does_not_eject(self):
         health = Health()
         assert not health.record_failure(1.0)
         assert health.usable(1.0)
@@ -98,7 +98,7 @@
         assert not health.usable(1.0)
         assert health.usable(1.0 + MIN_EJECTION_S)
 
-    def test_a_success_between_starts_anew(self):
+    def test_a_success_resets_the_failure_count(self):
         health = Health()
         for _ in range(FAILURES_TO_EJECT - 1):
             health.record_failure(1.0)
@@ -106,7 +106,7 @@
         health.record_failure(1.0)
         assert health.usable(1.0)
 
-    def test_comes_back_with_one_request_at_a_time(self):
+    def test_ejected_server_returns_with_one_request_at_a_time(self):
         health = Health()
         health.record_failure(1.0, weight=FAILURES_TO_EJECT)
         later = 1.0 + MIN_EJECTION_S
@@ -116,7 +116,7 @@
         health.record_success()
         assert health.usable(later)
 
-    def test_each_failed_return_takes_longer(self):
+    def test_each_failed_return_doubles_the_ejection(self):
         health = Health()
         health.record_failure(0.0, weight=FAILURES_TO_EJECT)
         now_s = MIN_EJECTION_S
@@ -125,14 +125,14 @@
         assert not health.usable(now_s + MIN_EJECTION_S)
         assert health.usable(now_s + 2 * MIN_EJECTION_S)
 
-    def test_a_caller_that_leaves_frees_the_trial(self):
+    def test_a_neutral_result_allows_another_probe(self):
         health = Health()
         health.record_failure(0.0, weight=FAILURES_TO_EJECT)
         health.record_start(1.0)
         health.record_inconclusive()
         assert health.usable(1.0)
 
-    def test_one_that_began_to_answer_gets_more_than_one_request_again(self):
+    def test_a_server_that_began_to_respond_gets_more_than_one_request(self):
         health = Health()
         for _ in range(FAILURES_TO_EJECT):
             health.record_failure(1.0)
@@ -142,7 +142,7 @@
         health.record_first_event()
         assert health.usable(back_s)
 
-    def test_one_that_began_to_answer_and_fails_again_is_out_of_use_at_once(self):
+    def test_a_server_that_began_to_respond_and_fails_is_ejected_at_once(self):
         health = Health()
         for _ in range(FAILURES_TO_EJECT):
             health.record_failure(1.0)
@@ -154,14 +154,14 @@
 
 
 class TestReachability:
-    def test_a_server_that_cannot_be_reached_gets_no_request_while_connections_fail(self):
+    def test_an_unreachable_server_gets_no_request_while_connections_fail(self):
         health = Health()
         health.record_unreachable(1.0)
         for tenth in range(10, 100):
             health.record_still_unreachable(tenth / 10)
             assert not health.usable(tenth / 10 + 0.1)
 
-    def test_one_request_tries_it_as_soon_as_a_connection_opens(self):
+    def test_one_request_probes_it_as_soon_as_a_connection_opens(self):
         health = Health()
         for _ in range(4):
             health.record_unreachable(1.0)
@@ -173,7 +173,7 @@
         assert health.usable(1.5)
         assert not health.unreachable
 
-    def test_a_server_that_fails_requests_is_not_called_unreachable(self):
+    def test_a_server_that_fails_requests_is_not_unreachable(self):
         health = Health()
         for _ in range(FAILURES_TO_EJECT):
             health.record_failure(1.0)
@@ -185,7 +185,7 @@
 
 class TestEvents:
     @given(st.lists(st.integers(1, 9), max_size=60))
-    def test_are_the_same_however_they_are_cut(self, cuts):
+    def test_do_not_depend_on_how_the_bytes_are_split(self, cuts):
         splitter = EventSplitter()
         rest = EVENTS
         found = []
@@ -196,16 +196,16 @@
         assert [event.event_id for event in found] == [1, 2, 3]
         assert splitter.remainder == b""
 
-    def test_half_an_event_is_kept_back(self):
+    def test_that_are_incomplete_stay_buffered(self):
         splitter = EventSplitter()
         assert splitter.feed(b"id: 1\ndata: a\n") == []
         assert splitter.remainder == b"id: 1\ndata: a\n"
 
-    def test_carriage_returns_are_understood(self):
+    def test_may_end_with_crlf(self):
         (event,) = EventSplitter().feed(b"id: 7\r\ndata: a\r\n\r\n")
         assert event.event_id == 7
 
-    def test_without_a_number_have_none(self):
+    def test_without_an_id_have_none(self):
         (event,) = EventSplitter().feed(b"data: a\n\n")
         assert event.event_id is None
 
@@ -223,7 +223,9 @@
 )
 
 
-def first_ms(*, requests: float = 0, unread: float = 0, prompt: int = 1_000, pace: float = 1.0):
+def first_event_ms(
+    *, requests: float = 0, unread: float = 0, prompt: int = 1_000, pace: float = 1.0
+):
     model = EngineLatencyModel(spec=SPEC)
     demand = EngineLoad(
         requests=requests,
@@ -235,8 +237,10 @@
 
 
 class TestEngineModel:
-    def test_an_idle_engine_reads_and_makes_one_pass(self):
-        assert first_ms() == pytest.approx(FIXED_OVERHEAD_MS + 1000 / 20.7 + 5 * 9.27, rel=0.05)
+    def test_an_idle_engine_takes_one_prefill_and_one_pass(self):
+        assert first_event_ms() == pytest.approx(
+            FIXED_OVERHEAD_MS + 1000 / 20.7 + 5 * 9.27, rel=0.05
+        )
 
     @pytest.mark.parametrize(
         ("less", "more"),
@@ -249,14 +253,14 @@
             ({"requests": 4}, {"requests": 4, "pace": 2.0}),
         ],
     )
-    def test_more_to_do_takes_longer(self, less, more):
-        assert first_ms(**less) < first_ms(**more)
+    def test_more_load_takes_longer(self, less, more):
+        assert first_event_ms(**less) < first_event_ms(**more)
 
-    def test_a_full_batch_makes_the_next_one_wait_for_a_place(self):
+    def test_a_full_batch_makes_the_next_request_wait_for_a_slot(self):
         usual = EngineLatencyModel(spec=SPEC).request_ms(979, 92)
-        longer_ms = first_ms(requests=16) - first_ms(requests=15)
+        longer_ms = first_event_ms(requests=16) - first_event_ms(requests=15)
         assert longer_ms == pytest.approx(WAITING_SHARE * usual, rel=0.1)
 
-    def test_part_of_the_prompts_without_a_first_event_is_read_already(self):
-        longer_ms = first_ms(unread=2_070) - first_ms()
+    def test_part_of_the_pending_prompts_counts_as_read(self):
+        longer_ms = first_event_ms(unread=2_070) - first_event_ms()
         assert longer_ms == pytest.approx(UNREAD_SHARE * 100, rel=0.05)
--- a/tests/forward/test_reachability_prober.py
+++ b/tests/forward/test_reachability_prober.py
@@ -1,4 +1,4 @@
-"""Servers that nobody could connect to come back when something listens there again."""
+"""Unreachable servers become usable again once something listens at their address."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 OUTAGE_S = 1.0
 
 
-def an_instance(address: str) -> Instance:
+def make_instance(address: str) -> Instance:
     return Instance(
         instance="i-1",
         service="models",
@@ -30,17 +30,17 @@
 
 
 class TestPathProber:
-    def test_lets_a_request_try_as_soon_as_a_connection_opens(self):
+    def test_allows_a_request_once_a_connection_opens(self):
         async def work() -> None:
             loop = asyncio.get_running_loop()
             address = LoopbackAddresses()("one", Listener.WIRE)
             table = InstanceTable(forget_after_s=60.0)
-            board = ServerDirectory(table=table, clock=loop.time)
-            table.merge(an_instance(address))
-            server = board.server("i-1")
+            directory = ServerDirectory(table=table, clock=loop.time)
+            table.merge(make_instance(address))
+            server = directory.server("i-1")
             assert server is not None
             pool = ConnectionPool()
-            prober = ReachabilityProber(directory=board, pool=pool)
+            prober = ReachabilityProber(directory=directory, pool=pool)
             await prober.start()
             server.health.record_unreachable(loop.time())
             await asyncio.sleep(OUTAGE_S)
--- a/tests/forward/test_self_report_fleet.py
+++ b/tests/forward/test_self_report_fleet.py
@@ -1,4 +1,4 @@
-"""Leaving and resting servers before several entries, with whatever is late, cut or suspended."""
+"""Self-reports of servers to several entries, with late, lost and reordered messages and jumps."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Clock:
-    """Time with suspensions, as all processes share it."""
+    """Clock that includes suspensions, shared by all processes."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -54,7 +54,7 @@
 
 
 class Feed:
-    """Takes what an entry is told."""
+    """Control feed of one entry, driven by the test."""
 
     def __init__(self) -> None:
         self.source = "control"
@@ -76,27 +76,27 @@
         self.feed = Feed()
         self.cut = False
         self.table = InstanceTable(forget_after_s=60.0)
-        self.board = ServerDirectory(table=self.table, clock=asyncio.get_running_loop().time)
-        self.reports = SelfReports(directory=self.board, feed=self.feed, peers=self, seed=1)
+        self.directory = ServerDirectory(table=self.table, clock=asyncio.get_running_loop().time)
+        self.reports = SelfReports(directory=self.directory, feed=self.feed, peers=self, seed=1)
 
     async def connection(self, address: str):
         return Ok(self)
 
     def oneway(self, words: ServerWords) -> None:
-        self.fleet.on_their_way.append((self, words))
+        self.fleet.in_flight.append((self, words))
 
-    def hear(self, **facts: object) -> None:
-        """Take the answer to a request that was sent now, or before where none may be."""
-        server = self.board.server(NAME)
+    def receive(self, **fields: object) -> None:
+        """Receive the response to a request sent now, or earlier if none may be sent now."""
+        server = self.directory.server(NAME)
         if server is not None:
             call = OwnCall(prompt_tokens=0, output_tokens=0, placed_s=0.0, predicted_ms=0.0)
             server.claim_send(call)
-            said = ResponseMetadata(attempt_id=None, signed=True, not_executed=False, **facts)
-            self.reports.record_response(server, said, sent_s=None, call=call)
+            metadata = ResponseMetadata(attempt_id=None, signed=True, not_executed=False, **fields)
+            self.reports.record_response(server, metadata, sent_s=None, call=call)
             server.remove_call(call, 0.0)
 
     def may_send(self) -> bool:
-        server = self.board.server(NAME)
+        server = self.directory.server(NAME)
         if server is None:
             return False
         call = OwnCall(prompt_tokens=0, output_tokens=0, placed_s=0.0, predicted_ms=0.0)
@@ -106,13 +106,13 @@
 
 
 class Fleet:
-    """One server and its lives, a control replica, and entries that are cut off now and then."""
+    """One server that restarts, a control replica, and entries that may be cut off."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.born_ms = 1
         self.sequence = 0
-        self.on_their_way: list[tuple[Entry, ServerWords]] = []
+        self.in_flight: list[tuple[Entry, ServerWords]] = []
         self.entries = [Entry(self) for _ in range(ENTRIES)]
         self.relay = SelfReportRelay(
             own_address="control",
@@ -124,8 +124,8 @@
         self.relay.on_change(self._tell_rests)
         self.control = InstanceTable(forget_after_s=60.0)
         self.control.on_change(self._tell_entries)
-        self.left: list[set[str]] = [set() for _ in range(ENTRIES)]  # lives that said so, by entry
-        self.rest_until_s: list[dict[str, float]] = [{} for _ in range(ENTRIES)]
+        self.leaving_lives: list[set[str]] = [set() for _ in range(ENTRIES)]  # by entry
+        self.backoff_until_s: list[dict[str, float]] = [{} for _ in range(ENTRIES)]
 
     @property
     def life(self) -> str:
@@ -146,7 +146,7 @@
             if not entry.cut:
                 entry.feed.rests(words)
 
-    def record(self, sequence: int) -> Instance:
+    def announcement(self, sequence: int) -> Instance:
         return Instance(
             instance=NAME,
             service="s",
@@ -160,33 +160,33 @@
             born_ms=self.born_ms,
         )
 
-    async def play(self, step: tuple[str, int, float]) -> None:
+    async def apply(self, step: tuple[str, int, float]) -> None:
         kind, place, value = step
         entry = self.entries[place]
-        known = entry.board.server(NAME)
+        known = entry.directory.server(NAME)
         life = "" if known is None else known.instance.life
         match kind:
             case "beat":
                 self.sequence += 1
-                self.control.merge(self.record(self.sequence))
+                self.control.merge(self.announcement(self.sequence))
             case "late beat":
-                entry.table.merge(self.record(max(1, self.sequence - 1)))
+                entry.table.merge(self.announcement(max(1, self.sequence - 1)))
             case "restart":
                 self.born_ms += 1
                 self.sequence = 0
             case "leaves" if life:
-                entry.hear(leaving=True)
-                self.left[place].add(life)
+                entry.receive(leaving=True)
+                self.leaving_lives[place].add(life)
             case "rests" if life:
-                entry.hear(rest_s=value)
-                ends_s = self.rest_until_s[place]
+                entry.receive(rest_s=value)
+                ends_s = self.backoff_until_s[place]
                 ends_s[life] = max(ends_s.get(life, 0.0), self.clock.now_s + value)
             case "answers":
-                entry.hear()
+                entry.receive()
             case "tell":
                 await entry.reports._publish(whole=True)
             case "deliver":
-                arrived, self.on_their_way = self.on_their_way, []
+                arrived, self.in_flight = self.in_flight, []
                 for sender, words in arrived:
                     if not sender.cut:
                         self.relay._on_words(words, Connection())
@@ -197,18 +197,18 @@
 
     def check(self) -> None:
         for place, entry in enumerate(self.entries):
-            known = entry.board.server(NAME)
+            known = entry.directory.server(NAME)
             if known is None:
                 continue
             life = known.instance.life
             sends = entry.may_send()
-            assert not (sends and life in self.left[place])
-            assert not (sends and self.clock.now_s < self.rest_until_s[place].get(life, 0.0))
+            assert not (sends and life in self.leaving_lives[place])
+            assert not (sends and self.clock.now_s < self.backoff_until_s[place].get(life, 0.0))
 
 
 @contextlib.contextmanager
-def clock_of_processes() -> Iterator[Clock]:
-    """Let all parts go by one clock in the hand of the test."""
+def shared_clock() -> Iterator[Clock]:
+    """Make all processes use one clock that the test controls."""
     clock = Clock()
     clocks = self_reports.clocks
     before = clocks.elapsed_s
@@ -219,33 +219,33 @@
         clocks.elapsed_s = before  # type: ignore[assignment]
 
 
-class TestFleet:
-    # Guards against: an order of answers, news, lives, cuts and suspensions in which an entry sends
-    # to a server that told it that it leaves or rests.
+class TestSelfReportsAcrossEntries:
+    # Guards against: an order of responses, updates, restarts, cuts and suspensions in which an
+    # entry sends to a server that reported to it that it is leaving or backing off.
     @settings(max_examples=150, deadline=None)
     @given(steps)
-    def test_sends_nothing_to_a_server_against_its_own_word(self, played):
+    def test_sends_nothing_against_a_self_report(self, drawn_steps):
         async def run() -> None:
-            with clock_of_processes() as clock:
+            with shared_clock() as clock:
                 fleet = Fleet(clock)
-                await fleet.play(("beat", 0, 0.0))
-                for step in played:
-                    await fleet.play(step)
+                await fleet.apply(("beat", 0, 0.0))
+                for step in drawn_steps:
+                    await fleet.apply(step)
                     fleet.check()
 
         asyncio.run(run())
 
-    def test_in_touch_all_stop_once_one_has_told(self):
+    def test_stops_sending_at_all_entries_once_a_report_is_relayed(self):
         async def run() -> None:
-            with clock_of_processes() as clock:
+            with shared_clock() as clock:
                 fleet = Fleet(clock)
-                await fleet.play(("beat", 0, 0.0))
+                await fleet.apply(("beat", 0, 0.0))
                 assert all(entry.may_send() for entry in fleet.entries)
                 for step in (("leaves", 0, 0.0), ("tell", 0, 0.0), ("deliver", 0, 0.0)):
-                    await fleet.play(step)
+                    await fleet.apply(step)
                 assert not any(entry.may_send() for entry in fleet.entries)
                 for step in (("restart", 0, 0.0), ("beat", 0, 0.0)):
-                    await fleet.play(step)
+                    await fleet.apply(step)
                 assert all(entry.may_send() for entry in fleet.entries)
 
         asyncio.run(run())
--- a/tests/forward/test_server_directory.py
+++ b/tests/forward/test_server_directory.py
@@ -1,4 +1,4 @@
-"""What an entry keeps of a backend server, and what it forgets with a former life."""
+"""State that an entry keeps of a backend server, and drops when the server restarts."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class Entry:
-    """A board over a table, with a server in its first life."""
+    """Directory with one server in its first life."""
 
     def __init__(self) -> None:
         self.table = InstanceTable(forget_after_s=60.0)
-        self.board = ServerDirectory(table=self.table, clock=lambda: NOW_S)
+        self.directory = ServerDirectory(table=self.table, clock=lambda: NOW_S)
         self.closed: list[str] = []
-        self.board.on_restart(self.closed.append)
+        self.directory.on_restart(self.closed.append)
         self.table.merge(make_instance(sequence=40, born_ms=FIRST_MS))
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         self.table.merge(make_instance(sequence=1, born_ms=SECOND_MS))
 
 
@@ -33,34 +33,34 @@
     return Entry()
 
 
-class TestNewLife:
-    def test_is_not_blamed_for_the_former_one(self, entry):
-        entry.board.server("i-1").health.record_unreachable(NOW_S)
-        assert not entry.board.server("i-1").health.usable(NOW_S)
-        entry.start_again()
-        assert entry.board.server("i-1").health.usable(NOW_S)
+class TestRestartedServer:
+    def test_does_not_inherit_bad_health(self, entry):
+        entry.directory.server("i-1").health.record_unreachable(NOW_S)
+        assert not entry.directory.server("i-1").health.usable(NOW_S)
+        entry.restart()
+        assert entry.directory.server("i-1").health.usable(NOW_S)
 
-    def test_gets_no_connection_of_the_former_one(self, entry):
-        entry.start_again()
+    def test_is_announced_so_that_its_idle_connections_are_closed(self, entry):
+        entry.restart()
         assert entry.closed == [ADDRESS]
 
-    def test_is_not_judged_by_a_late_report_of_the_former_one(self, entry):
-        entry.start_again()
-        entry.board.update_load_report(LoadRecord(ADDRESS, active=9, born_ms=FIRST_MS), NOW_S)
-        assert entry.board.server("i-1").report is None
-        entry.board.update_load_report(LoadRecord(ADDRESS, active=1, born_ms=SECOND_MS), NOW_S)
-        assert entry.board.server("i-1").report.record.active == 1
+    def test_ignores_a_late_load_report_of_its_former_life(self, entry):
+        entry.restart()
+        entry.directory.update_load_report(LoadRecord(ADDRESS, active=9, born_ms=FIRST_MS), NOW_S)
+        assert entry.directory.server("i-1").report is None
+        entry.directory.update_load_report(LoadRecord(ADDRESS, active=1, born_ms=SECOND_MS), NOW_S)
+        assert entry.directory.server("i-1").report.record.active == 1
 
-    async def test_may_use_the_name_that_was_given_up(self, entry):
-        entry.board.record_instance_mismatch("i-1")
-        assert entry.board.server("i-1") is None
-        entry.start_again()
-        assert entry.board.server("i-1") is not None
+    async def test_is_found_again_after_an_instance_mismatch(self, entry):
+        entry.directory.record_instance_mismatch("i-1")
+        assert entry.directory.server("i-1") is None
+        entry.restart()
+        assert entry.directory.server("i-1") is not None
 
 
-class TestSameLife:
-    def test_that_says_something_new_keeps_what_was_found_out(self, entry):
-        server = entry.board.server("i-1")
+class TestRunningServer:
+    def test_keeps_its_state_when_its_announcement_changes(self, entry):
+        server = entry.directory.server("i-1")
         entry.table.merge(make_instance(sequence=41, version=2, born_ms=FIRST_MS))
-        assert entry.board.server("i-1") is server
+        assert entry.directory.server("i-1") is server
         assert not entry.closed
