--- a/tests/forward/test_silent_connections.py
+++ b/tests/forward/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections to a server that go silent together cost one request its time, not each."""
+"""Idle connections to a server that go silent together delay one request, not each of them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from leadhollow.decide.server import Server
 from leadhollow.decide.server_load import OwnCall
 from leadhollow.forward.dialect import DispatchMetadata, ResponseMetadata
-from leadhollow.forward.exchange import SILENT_S, BackendClient
+from leadhollow.forward.exchange import SILENT_CONNECTION_S, BackendClient
 from leadhollow.forward.pool import ConnectionPool
 from leadhollow.forward.request_body import RequestBody
 from leadhollow.http1.body import IncomingBody
@@ -18,12 +18,12 @@
 from leadhollow.membership.instances import Instance, InstanceState
 from leadhollow.settings.deployment import Listener, LoopbackAddresses
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-KEPT = 3
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+CONNECTIONS = 3
 
 
 class PlainDialect:
-    """No fields of its own."""
+    """Dialect without header fields of its own."""
 
     def dispatch_headers(self, head, dispatch):
         return Headers()
@@ -33,7 +33,7 @@
 
 
 class SilentServer:
-    """Answers each request, until the connections that are open go silent."""
+    """Responds to each request, except on the first ``silent_up_to`` connections."""
 
     def __init__(self) -> None:
         self.connections = 0
@@ -45,12 +45,12 @@
         try:
             while await reader.readuntil(b"\r\n\r\n"):
                 if number > self.silent_up_to:
-                    writer.write(ANSWER)
+                    writer.write(RESPONSE)
         except (OSError, asyncio.IncompleteReadError):
             writer.close()
 
 
-def a_server(address: str) -> Server:
+def make_server(address: str) -> Server:
     instance = Instance(
         instance="i",
         service="s",
@@ -66,54 +66,56 @@
 
 
 class Client:
-    """An exchanger with its pool."""
+    """A backend client with its connection pool."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.pool = ConnectionPool()
-        self.exchanger = BackendClient(dialect=PlainDialect(), pool=self.pool, listeners=())
+        self.backend_client = BackendClient(dialect=PlainDialect(), pool=self.pool, listeners=())
 
-    async def ask(self) -> bytes:
-        nothing = IncomingBody(pause=lambda: None, resume=lambda: None)
+    async def send(self) -> bytes:
+        empty = IncomingBody(pause=lambda: None, resume=lambda: None)
         head = RequestHead(method=b"GET", target=b"/", headers=Headers())
-        body = RequestBody(head=head, incoming=nothing, limit_bytes=1)
+        body = RequestBody(head=head, incoming=empty, limit_bytes=1)
         body.complete = True
-        begun = await self.exchanger.send(
-            server=a_server(self.address),
+        sent = await self.backend_client.send(
+            server=make_server(self.address),
             own_call=OwnCall(prompt_tokens=0, output_tokens=0, placed_s=0.0, predicted_ms=0.0),
             head=head,
             body=body,
             attempt_id="",
-            dispatch=Dispatch(deadline_ms=1.0, instance="i", organisation=None),
+            dispatch=DispatchMetadata(deadline_ms=1.0, instance="i", organisation=None),
             fresh=False,
         )
-        exchange = begun.unwrap()
+        exchange = sent.unwrap()
         data = (await exchange.read()).unwrap()
         assert (await exchange.read()).unwrap() == b""
-        await asyncio.sleep(0.02)  # the others are still on their way
+        await asyncio.sleep(0.02)  # the other requests are still running
         exchange.finish()
         return data
 
 
-class TestExchanger:
-    @pytest.mark.parametrize(("waited_s", "kept"), [(SILENT_S / 3, True), (2 * SILENT_S, False)])
-    def test_closes_idle_connections_once_one_of_them_was_silent(self, waited_s, kept):
+class TestBackendClient:
+    @pytest.mark.parametrize(
+        ("waited_s", "kept"), [(SILENT_CONNECTION_S / 3, True), (2 * SILENT_CONNECTION_S, False)]
+    )
+    def test_closes_idle_connections_after_one_of_them_was_silent(self, waited_s, kept):
         async def work() -> None:
             address = LoopbackAddresses()("one", Listener.WIRE)
             server = SilentServer()
             host, _, port = address.partition(":")
             listener = await asyncio.start_server(server.serve, host, int(port))
             client = Client(address)
-            await asyncio.gather(*(client.ask() for _ in range(KEPT)))
-            assert server.connections == KEPT
-            server.silent_up_to = KEPT
+            await asyncio.gather(*(client.send() for _ in range(CONNECTIONS)))
+            assert server.connections == CONNECTIONS
+            server.silent_up_to = CONNECTIONS
             with pytest.raises(TimeoutError):
-                await asyncio.wait_for(client.ask(), waited_s)
+                await asyncio.wait_for(client.send(), waited_s)
             if kept:
                 assert client.pool.reused == 1
                 server.silent_up_to = 0
-            assert await client.ask() == b"ok"
-            assert server.connections == (KEPT if kept else KEPT + 1)
+            assert await client.send() == b"ok"
+            assert server.connections == (CONNECTIONS if kept else CONNECTIONS + 1)
             await client.pool.stop()
             listener.close()
 
--- a/tests/forward/test_stalled_event_loop.py
+++ b/tests/forward/test_stalled_event_loop.py
@@ -1,4 +1,4 @@
-"""An entry that was held up calls no backend server silent or unreachable for it."""
+"""An entry whose event loop stalled does not take backend servers for silent or unreachable."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from leadhollow.http1.fetch import HttpCaller
 from leadhollow.kernel import active_time
 from leadhollow.settings.address import Address
-from tests.forward.test_silent_connections import ANSWER, KEPT, Client, SilentServer
+from tests.forward.test_silent_connections import CONNECTIONS, RESPONSE, Client, SilentServer
 from tests.other_loop import LOOPS, OtherLoop, hold_up, run_on
 
-HOLD_S = 1.2
-BEAT_S = 0.1  # after which the server answers
+STALL_S = 1.2
+RESPONSE_DELAY_S = 0.1
 
 
 class SlowServer:
-    """Answers each request after a tenth of a second, on a loop of its own."""
+    """Responds to each request after ``RESPONSE_DELAY_S``, on an event loop of its own."""
 
-    def __init__(self, elsewhere: OtherLoop) -> None:
-        self._elsewhere = elsewhere
-        self._listener = elsewhere.run(asyncio.start_server(self._serve, "127.0.0.1", 0))
+    def __init__(self, other_loop: OtherLoop) -> None:
+        self._other_loop = other_loop
+        self._listener = other_loop.run(asyncio.start_server(self._serve, "127.0.0.1", 0))
         host, port = self._listener.sockets[0].getsockname()
         self.address = Address(host=host, port=port)
 
     def stop(self) -> None:
-        self._elsewhere.run(self._close())
+        self._other_loop.run(self._close())
 
     async def _close(self) -> None:
         self._listener.close()
@@ -36,24 +36,24 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while await reader.readuntil(b"\r\n\r\n"):
-                await asyncio.sleep(BEAT_S)
-                writer.write(ANSWER)
+                await asyncio.sleep(RESPONSE_DELAY_S)
+                writer.write(RESPONSE)
         except (OSError, asyncio.IncompleteReadError):
             writer.close()
 
 
 @pytest.fixture
 def slow_server():
-    with OtherLoop() as elsewhere:
-        found = SlowServer(elsewhere)
+    with OtherLoop() as other_loop:
+        found = SlowServer(other_loop)
         yield found
         found.stop()
 
 
 @pytest.mark.parametrize("loop_name", LOOPS)
-class TestHeldUpEntry:
-    # Guards against: a server that took our connection counts as unreachable.
-    def test_reaches_a_server_that_it_connects_to(self, slow_server, loop_name):
+class TestStalledEntry:
+    # Guards against: a server that accepted the connection counts as unreachable.
+    def test_uses_connections_that_opened_during_the_stall(self, slow_server, loop_name):
         async def work() -> None:
             pool = ConnectionPool()
             active_time.clock()
@@ -61,35 +61,38 @@
                 asyncio.create_task(pool.preconnect(str(slow_server.address))) for _ in range(5)
             ]
             await asyncio.sleep(0)
-            time.sleep(HOLD_S)
+            time.sleep(STALL_S)
             assert await asyncio.gather(*opening) == [True] * 5
             await pool.stop()
 
         run_on(loop_name, work)
 
-    # Guards against: an engine's answer about itself is dropped, and the engine called silent.
-    def test_takes_a_whole_answer_that_came_meanwhile(self, slow_server, loop_name):
+    # Guards against: a response that arrived during the stall is dropped, and the engine counts
+    # as silent.
+    def test_takes_a_response_that_arrived_during_the_stall(self, slow_server, loop_name):
         async def work() -> None:
             caller = HttpCaller()
             asked = asyncio.create_task(
                 caller.fetch("GET", slow_server.address, "/", timeout_s=0.5)
             )
-            await hold_up(HOLD_S, after_s=0.05)
+            await hold_up(STALL_S, after_s=0.05)
             assert (await asked).unwrap().body == b"ok"
             caller.close()
 
         run_on(loop_name, work)
 
-    def test_still_gives_up_on_a_server_that_is_silent(self, slow_server, loop_name):
+    def test_still_times_out_on_a_silent_server(self, slow_server, loop_name):
         async def work() -> None:
             caller = HttpCaller()
-            asked = await caller.fetch("GET", slow_server.address, "/", timeout_s=BEAT_S / 2)
+            asked = await caller.fetch(
+                "GET", slow_server.address, "/", timeout_s=RESPONSE_DELAY_S / 2
+            )
             assert asked.is_err()
             caller.close()
 
         run_on(loop_name, work)
 
-    # Guards against: the idle connections to a server are closed for our own delay.
+    # Guards against: idle connections to a server are closed because of the stall.
     def test_keeps_its_idle_connections(self, loop_name):
         async def work() -> None:
             server = SilentServer()
@@ -97,16 +100,16 @@
             host, port = listener.sockets[0].getsockname()
             client = Client(f"{host}:{port}")
             active_time.clock()
-            await asyncio.gather(*(client.ask() for _ in range(KEPT)))
-            server.silent_up_to = KEPT
-            asked = asyncio.create_task(client.ask())
+            await asyncio.gather(*(client.send() for _ in range(CONNECTIONS)))
+            server.silent_up_to = CONNECTIONS
+            asked = asyncio.create_task(client.send())
             await asyncio.sleep(0.02)
-            time.sleep(0.8)  # less than idle connections are kept for
+            time.sleep(0.8)  # shorter than the pool keeps idle connections
             asked.cancel()
             await asyncio.gather(asked, return_exceptions=True)
             server.silent_up_to = 0
-            assert await client.ask() == b"ok"
-            assert server.connections == KEPT
+            assert await client.send() == b"ok"
+            assert server.connections == CONNECTIONS
             await client.pool.stop()
             listener.close()
 
