--- a/src/leadhollow/node/stager_role.py
+++ b/src/leadhollow/node/stager_role.py
@@ -11,16 +11,16 @@
 from leadhollow.routing.model import ServiceRecord
 from leadhollow.settings.address import Address
 from leadhollow.staging.engine_client import LocalEngine
-from leadhollow.staging.engine_loads import EngineLoads
+from leadhollow.staging.engine_monitor import EngineMonitor
 from leadhollow.staging.installer import Installer
-from leadhollow.staging.link_gauge import LinkGauge
-from leadhollow.staging.load_reports import EngineWatch
+from leadhollow.staging.link_monitor import LinkMonitor
 from leadhollow.staging.origin_source import OriginSource
+from leadhollow.staging.piece_assignment import Stager
 from leadhollow.staging.piece_fetch import PieceFetch
 from leadhollow.staging.piece_server import PieceServer
+from leadhollow.staging.piece_window import PieceWindow
 from leadhollow.staging.pieces import PieceStore, StagedVersion
-from leadhollow.staging.sharing import Stager
-from leadhollow.staging.window import PieceWindow
+from leadhollow.staging.switch_coordinator import SwitchCoordinator
 
 if TYPE_CHECKING:
     from leadhollow.kernel.service import Service
@@ -84,7 +84,7 @@
     origin = OriginSource(address=origin_address, dialect=process.dialects.origin)
 
     def link_share() -> float:
-        return kernel.get("link-gauge", LinkGauge).share
+        return kernel.get("link-gauge", LinkMonitor).share
 
     def link_bytes_per_s() -> float:
         return settings.link_mbit_per_s * BYTES_PER_MBIT * link_share()
@@ -122,21 +122,21 @@
         return report_interval_s(engine_count())
 
     def make_engine_watch() -> Service:
-        return EngineWatch(
+        return EngineMonitor(
             address=engine_settings.address,
             engine=engine,
             feed=feed(),
             peers=process.peers,
-            path_delay_s=kernel.get("link-gauge", LinkGauge).delay_s,
-            interval_s=watch_interval_s,
+            path_delay_s=kernel.get("link-gauge", LinkMonitor).delay_s,
+            report_interval_s=watch_interval_s,
         )
 
     def make_installer() -> Service:
-        loads = EngineLoads(feed=feed())
+        coordinator = SwitchCoordinator(feed=feed())
 
         def is_turn(staged: StagedVersion, announced: bool, left_s: float) -> bool:
             instances = feed().table.of_service(engine_settings.service)
-            return loads.is_turn(
+            return coordinator.is_turn(
                 engine_settings.address,
                 staged,
                 {instance.address: instance.failure_domain for instance in instances},
@@ -147,14 +147,14 @@
         return Installer(
             catalog=feed().catalog,
             engine=engine,
-            watch=kernel.get("engine-watch", EngineWatch),
+            monitor=kernel.get("engine-watch", EngineMonitor),
             store=store,
             models=models,
             start_fetch=start_fetch,
             first_start=settings.first_start,
-            times=feed().naming_times,
+            naming_times=feed().naming_times,
             version_s=settings.bounds.version_ms / 1000,
-            turn=is_turn,
+            may_switch=is_turn,
             piece_s=lambda staged: staged.manifest.chunk_bytes / link_bytes_per_s(),
             window=window,
         )
@@ -165,11 +165,13 @@
             handlers=process.handlers,
             link_bytes_per_s=link_bytes_per_s,
             failure_domain=settings.failure_domain,
-            hurries=lambda: window.hurries,
+            urgent=lambda: window.urgent,
         )
 
     def make_link_gauge() -> Service:
-        return LinkGauge(feed=feed(), peers=process.peers, vm=settings.vm, stagers=engine_count)
+        return LinkMonitor(
+            feed=feed(), peers=process.peers, vm=settings.vm, stager_count=engine_count
+        )
 
     kernel.register("link-gauge", make_link_gauge, needs=("feed",))
     kernel.register("pieces", make_pieces, needs=("wire", "link-gauge"))
--- a/src/leadhollow/platform/engines.py
+++ b/src/leadhollow/platform/engines.py
@@ -62,7 +62,7 @@
         """Give the path of the report."""
         return "/-/report"
 
-    def read_report(self, head: ResponseHead, body: bytes) -> Result[EngineReport, Failure]:
+    def parse_report(self, head: ResponseHead, body: bytes) -> Result[EngineReport, Failure]:
         """Decode a report."""
         try:
             document = _reports.decode(body)
@@ -83,19 +83,19 @@
             )
         )
 
-    def put_target(self, model: str, index: int) -> str:
+    def stage_piece_target(self, model: str, index: int) -> str:
         """Give path and query under which a piece is staged."""
         return f"/-/stage-put/{model}?pieceIndex={index}"
 
-    def get_target(self, model: str, index: int) -> str:
+    def staged_piece_target(self, model: str, index: int) -> str:
         """Give path and query under which a staged piece is read back."""
         return f"/-/stage-get/{model}?pieceIndex={index}"
 
-    def held_target(self, model: str) -> str:
+    def staged_list_target(self, model: str) -> str:
         """Give the path under which staged pieces are listed."""
         return f"/-/stage-get/{model}"
 
-    def read_held(self, body: bytes) -> Result[list[int], Failure]:
+    def parse_staged_list(self, body: bytes) -> Result[list[int], Failure]:
         """Decode the list of staged pieces."""
         try:
             return Ok(list(_held.decode(body).held))
@@ -106,7 +106,7 @@
         """Give the path of orders."""
         return "/-/order"
 
-    def write_order(self, order: LoadOrder) -> bytes:
+    def encode_order(self, order: LoadOrder) -> bytes:
         """Encode an order."""
         return msgspec.json.encode(
             OrderDocument(
--- a/src/leadhollow/staging/engine_client.py
+++ b/src/leadhollow/staging/engine_client.py
@@ -35,38 +35,40 @@
         if answered.is_err():
             return Err(answered.unwrap_err())
         answer = answered.unwrap()
-        return self._dialect.read_report(answer.head, answer.body)
+        return self._dialect.parse_report(answer.head, answer.body)
 
-    async def put(self, model: str, index: int, data: bytes) -> Result[None, Failure]:
+    async def stage_piece(self, model: str, index: int, data: bytes) -> Result[None, Failure]:
         """Lay a piece into the stage."""
-        target = self._dialect.put_target(model, index)
+        target = self._dialect.stage_piece_target(model, index)
         answered = await self._fetch("PUT", target, STAGE_TIMEOUT_S, body=data)
         return Ok(None) if answered.is_ok() else Err(answered.unwrap_err())
 
-    async def get(self, model: str, index: int) -> Result[bytes, Failure]:
+    async def read_staged_piece(self, model: str, index: int) -> Result[bytes, Failure]:
         """Read a staged piece back."""
-        target = self._dialect.get_target(model, index)
+        target = self._dialect.staged_piece_target(model, index)
         answered = await self._fetch("GET", target, STAGE_TIMEOUT_S)
         return Ok(answered.unwrap().body) if answered.is_ok() else Err(answered.unwrap_err())
 
-    async def held(self, model: str) -> Result[list[int], Failure]:
+    async def list_staged(self, model: str) -> Result[list[int], Failure]:
         """List the staged pieces."""
-        answered = await self._fetch("GET", self._dialect.held_target(model), STAGE_TIMEOUT_S)
+        answered = await self._fetch(
+            "GET", self._dialect.staged_list_target(model), STAGE_TIMEOUT_S
+        )
         if answered.is_err():
             return Err(answered.unwrap_err())
-        return self._dialect.read_held(answered.unwrap().body)
+        return self._dialect.parse_staged_list(answered.unwrap().body)
 
-    async def order(self, order: LoadOrder) -> Result[None, Failure]:
+    async def order_load(self, order: LoadOrder) -> Result[None, Failure]:
         """Order the engine to load; an order without an answer may have been taken."""
         answered = await self._fetch(
             "POST",
             self._dialect.order_target(),
             ORDER_TIMEOUT_S,
-            body=self._dialect.write_order(order),
+            body=self._dialect.encode_order(order),
         )
         return Ok(None) if answered.is_ok() else Err(answered.unwrap_err())
 
-    def forget_rest(self) -> None:
+    def clear_backoff(self) -> None:
         """Note that another life of the engine has begun."""
         self._http.forget_rest(self._address)
 
--- a/src/leadhollow/staging/engine_dialect.py
+++ b/src/leadhollow/staging/engine_dialect.py
@@ -100,23 +100,23 @@
         """Give the path of the report."""
         ...
 
-    def read_report(self, head: ResponseHead, body: bytes) -> Result[EngineReport, Failure]:
+    def parse_report(self, head: ResponseHead, body: bytes) -> Result[EngineReport, Failure]:
         """Decode a report and what its header fields say of the engine."""
         ...
 
-    def put_target(self, model: str, index: int) -> str:
+    def stage_piece_target(self, model: str, index: int) -> str:
         """Give path and query under which a piece is staged."""
         ...
 
-    def get_target(self, model: str, index: int) -> str:
+    def staged_piece_target(self, model: str, index: int) -> str:
         """Give path and query under which a staged piece is read back."""
         ...
 
-    def held_target(self, model: str) -> str:
+    def staged_list_target(self, model: str) -> str:
         """Give the path under which staged pieces are listed."""
         ...
 
-    def read_held(self, body: bytes) -> Result[list[int], Failure]:
+    def parse_staged_list(self, body: bytes) -> Result[list[int], Failure]:
         """Decode the list of staged pieces."""
         ...
 
@@ -124,7 +124,7 @@
         """Give the path of orders."""
         ...
 
-    def write_order(self, order: LoadOrder) -> bytes:
+    def encode_order(self, order: LoadOrder) -> bytes:
         """Encode an order."""
         ...
 
--- a/src/leadhollow/staging/load_reports.py
+++ b/src/leadhollow/staging/engine_monitor.py
@@ -26,7 +26,7 @@
 log = get_logger("load")
 
 
-class EngineWatch(TaskService):
+class EngineMonitor(TaskService):
     """Newest report of the engine.
 
     Parameters
@@ -56,7 +56,7 @@
         "_sent",
         "_sent_s",
         "report",
-        "staged",
+        "staged_progress",
         "switching",
     )
 
@@ -68,21 +68,21 @@
         feed: ControlFeed,
         peers: PeerPool,
         path_delay_s: Callable[[], float],
-        interval_s: Callable[[], float],
+        report_interval_s: Callable[[], float],
     ) -> None:
         self._address = address
         self._engine = engine
         self._feed = feed
         self._peers = peers
         self._path_delay_s = path_delay_s
-        self._interval_s = interval_s
+        self._interval_s = report_interval_s
         self._sent: tuple[object, ...] = ()
         self._sent_s = 0.0
         self._life = ""  # of the engine, as control last told
         self._listeners: list[Callable[[], None]] = []
         self.report: EngineReport | None = None
         self.switching = False
-        self.staged: Callable[[], tuple[int, int]] = lambda: (0, 0)
+        self.staged_progress: Callable[[], tuple[int, int]] = lambda: (0, 0)
         super().__init__()
 
     def on_report(self, listener: Callable[[], None]) -> None:
@@ -111,7 +111,7 @@
         known = self._feed.table.at_address(self._address)
         if known is not None and known.life != self._life:
             self._life = known.life
-            self._engine.forget_rest()
+            self._engine.clear_backoff()
 
     def _leaving(self, report: EngineReport) -> ServerWords | None:
         """Give the word that the engine leaves, where it says so and control knows its name."""
@@ -120,7 +120,7 @@
             return None
         return ServerWords("", [leaving_report(known.life)])
 
-    async def tell(self) -> None:
+    async def publish(self) -> None:
         """Report the load to the control replica now."""
         report = self.report
         if report is None or not self._feed.source:
@@ -128,7 +128,7 @@
         connected = await self._peers.connection(self._feed.source)
         if connected.is_err():
             return
-        staged_version, staged_pieces = self.staged()
+        staged_version, staged_pieces = self.staged_progress()
         record = LoadRecord(
             self._address,
             report.active,
@@ -161,7 +161,7 @@
                 report.busy,
                 report.leaving,
                 self.switching,
-                self.staged(),
+                self.staged_progress(),
                 tuple(found.key() for found in report.served),
                 round(report.pace, 1),
                 self._path_delay_s() > SLOW_PATH_S,
@@ -169,11 +169,11 @@
             now_s = asyncio.get_running_loop().time()
             if said != self._sent or now_s - self._sent_s > self._interval_s():
                 self._sent = said
-                await self.tell()
-            await asyncio.sleep(ask_interval_s(self._interval_s()))
+                await self.publish()
+            await asyncio.sleep(poll_interval_s(self._interval_s()))
 
 
-def ask_interval_s(report_interval_s: float) -> float:
+def poll_interval_s(report_interval_s: float) -> float:
     """Give how long to wait before the engine is asked again.
 
     Parameters
--- a/src/leadhollow/staging/engine_stage.py
+++ b/src/leadhollow/staging/engine_stage.py
@@ -19,16 +19,16 @@
         self._laid: set[int] = set()
         self._laid_of: StagedVersion | None = None
 
-    async def read_back(self, staged: StagedVersion) -> None:
+    async def recover(self, staged: StagedVersion) -> None:
         """Take over what the stage held when this process began."""
-        listed = await self._engine.held(staged.model)
+        listed = await self._engine.list_staged(staged.model)
         if listed.is_err():
             return
         for index in listed.unwrap():
             if index in staged.held or not 0 <= index < staged.held.count:
                 continue
-            read = await self._engine.get(staged.model, index)
-            if read.is_ok() and staged.take(index, read.unwrap()):
+            read = await self._engine.read_staged_piece(staged.model, index)
+            if read.is_ok() and staged.add(index, read.unwrap()):
                 self._note(staged, index)
         log.info(
             "stage read",
@@ -38,13 +38,13 @@
             held=staged.held.held_count,
         )
 
-    async def lay(self, staged: StagedVersion) -> None:
+    async def stage_pieces(self, staged: StagedVersion) -> None:
         """Lay the pieces that have come and do not lie there yet."""
         for index in list(staged.held.indexes()):
             piece = staged.piece(index)
             if self._lies(staged, index) or piece is None:
                 continue
-            put = await self._engine.put(staged.model, index, piece)
+            put = await self._engine.stage_piece(staged.model, index, piece)
             if put.is_err():
                 log.warning("piece not staged", index=index, failure=str(put.unwrap_err()))
                 return
@@ -61,12 +61,12 @@
         good = True
         for index in range(staged.held.count):
             piece = staged.piece(index)
-            read = await self._engine.get(staged.model, index)
+            read = await self._engine.read_staged_piece(staged.model, index)
             if piece is None or (read.is_ok() and read.unwrap() == piece):
                 continue
             good = False
             log.warning("staged piece is bad", index=index, absent=read.is_err())
-            put = await self._engine.put(staged.model, index, piece)
+            put = await self._engine.stage_piece(staged.model, index, piece)
             if put.is_err():
                 return False
         return good
--- a/src/leadhollow/staging/running_fetches.py
+++ b/src/leadhollow/staging/fetch_manager.py
@@ -20,7 +20,7 @@
         self.task = task
 
 
-class RunningFetches:
+class FetchManager:
     """What is fetched now.
 
     Parameters
@@ -35,7 +35,7 @@
         self._start_fetch = start_fetch
         self._running: dict[StagedVersion, _RunningFetch] = {}
 
-    def keep(self, wanted: Sequence[StagedVersion]) -> None:
+    def fetch_only(self, wanted: Sequence[StagedVersion]) -> None:
         """Fetch these versions and nothing else; of several the first leaves the link to others."""
         for version in list(self._running):
             if version not in wanted:
@@ -44,7 +44,7 @@
             running = self._running.get(version)
             if running is None or running.task.done():
                 running = self._start(version)
-            running.fetch.yields = len(wanted) > 1 and version is wanted[0]
+            running.fetch.origin_only = len(wanted) > 1 and version is wanted[0]
 
     def blocked(self, version: StagedVersion) -> bool:
         """Tell whether a version is fetched and cannot be had now."""
@@ -53,7 +53,7 @@
 
     def stop(self) -> None:
         """Fetch nothing more."""
-        self.keep(())
+        self.fetch_only(())
 
     def _start(self, version: StagedVersion) -> _RunningFetch:
         log.info("fetch begins", model=version.model, number=version.number)
--- a/src/leadhollow/staging/installer.py
+++ b/src/leadhollow/staging/installer.py
@@ -17,12 +17,12 @@
 from leadhollow.observe.logs import get_logger, log_decision
 from leadhollow.staging.engine_client import LocalEngine
 from leadhollow.staging.engine_dialect import EngineReport, LoadOrder
+from leadhollow.staging.engine_monitor import EngineMonitor
 from leadhollow.staging.engine_stage import EngineStage
-from leadhollow.staging.load_reports import EngineWatch
+from leadhollow.staging.fetch_manager import FetchManager
 from leadhollow.staging.piece_fetch import PieceFetch
+from leadhollow.staging.piece_window import PieceWindow
 from leadhollow.staging.pieces import PieceStore, StagedVersion
-from leadhollow.staging.running_fetches import RunningFetches
-from leadhollow.staging.window import PieceWindow
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.weights_versions import versions_of
 from leadhollow.weights.named_versions import NamedVersion
@@ -32,12 +32,12 @@
 """Between two looks while the engine holds what is wanted and nothing is on its way; what is named
 or described is seen at once, an engine that starts again with nothing after as long."""
 
-NOTICE_S = 0.15  # entries hear of the switch before the order is given
+SWITCH_NOTICE_S = 0.15  # entries hear of the switch before the order is given
 ORDER_AGAIN_S = 0.5
 FIRST_PATIENCE_S = 4.0  # an engine takes a second or two to answer after its start
 LATER_PATIENCE_S = 0.25  # one that runs answers at once, one that starts has an empty stage
 LAST_CALL_S = 0.6  # before the bound everybody changes, whatever the others do
-FINISH_S = 3.0
+DRAIN_TIMEOUT_S = 3.0
 """Longest time that requests in progress get before an engine loads: what is broken off then has to
 go on at another engine, which may change too, and may have no attempt left."""
 
@@ -95,35 +95,35 @@
         *,
         catalog: Catalog,
         engine: LocalEngine,
-        watch: EngineWatch,
+        monitor: EngineMonitor,
         store: PieceStore,
         models: Callable[[], list[str]],
         start_fetch: Callable[[StagedVersion], PieceFetch],
         first_start: bool,
-        times: NamingTimes,
+        naming_times: NamingTimes,
         version_s: float,
-        turn: Callable[[StagedVersion, bool, float], bool],
+        may_switch: Callable[[StagedVersion, bool, float], bool],
         piece_s: Callable[[StagedVersion], float],
         window: PieceWindow,
     ) -> None:
         self._catalog = catalog
         self._engine = engine
-        self._watch = watch
+        self._watch = monitor
         self._store = store
         self._models = models
-        self._fetches = RunningFetches(start_fetch=start_fetch)
+        self._fetches = FetchManager(start_fetch=start_fetch)
         self._stage = EngineStage(engine=engine)
         self._piece_s = piece_s
         self._window = window
         self._read_back = False
-        self._times = times
+        self._times = naming_times
         self._version_s = version_s
-        self._turn = turn
+        self._turn = may_switch
         self._began_s = active_s()
         self._stage_patience_s = FIRST_PATIENCE_S if first_start else LATER_PATIENCE_S
         self._wake = asyncio.Event()
         self._idle = False  # whether nothing was left to do at the last look
-        watch.staged = self._progress
+        monitor.staged_progress = self._progress
         catalog.on_change(lambda _: self._wake.set())
         super().__init__()
 
@@ -166,24 +166,28 @@
         now_s = asyncio.get_running_loop().time()
         plan = plan_versions(progress, held=held, version_s=self._version_s, now_s=now_s)
         if held == progress[0].number:
-            self._window.hurries = False  # until then others may still need what is here
+            self._window.urgent = False  # until then others may still need what is here
         elif is_urgent(progress, held=held, version_s=self._version_s, now_s=now_s):
-            self._window.hurries = True
-        wanted = (self._store.open(found) for found in known if found.number in plan.fetch)
-        self._fetches.keep([found for found in wanted if found is not None])
+            self._window.urgent = True
+        wanted = (
+            self._store.find_or_create(found) for found in known if found.number in plan.fetch
+        )
+        self._fetches.fetch_only([found for found in wanted if found is not None])
         goal = plan.install if plan.install is not None else next(iter(plan.fetch), None)
-        staged = next((self._store.open(found) for found in known if found.number == goal), None)
+        staged = next(
+            (self._store.find_or_create(found) for found in known if found.number == goal), None
+        )
         if staged is None:
             return
         self._idle = False
         bound = self._usable_until_s(progress, report, known)
         if not staged.complete:
             if report is not None:
-                await self._stage.lay(staged)
+                await self._stage.stage_pieces(staged)
             if staged.complete:
                 await self._watch.tell()  # whose turn it is depends on who is complete
                 if self._is_in_use(bound, report):
-                    await asyncio.sleep(NOTICE_S)
+                    await asyncio.sleep(SWITCH_NOTICE_S)
             return
         if report is None or plan.install is None:
             return
@@ -194,10 +198,10 @@
     async def _read_stages(self, known: list[NamedVersion]) -> None:
         """Take over what lay beside the engine when this process began."""
         for version in known:
-            staged = self._store.open(version)
+            staged = self._store.find_or_create(version)
             if staged is not None:
                 self._read_back = True
-                await self._stage.read_back(staged)
+                await self._stage.recover(staged)
 
     def _usable_until_s(
         self,
@@ -221,7 +225,7 @@
     def _progress_of(self, version: NamedVersion) -> VersionProgress:
         """Tell how far this VM is with a version."""
         named_s = self._times.named_s(version.model, version.number)
-        staged = self._store.open(version)
+        staged = self._store.find_or_create(version)
         if staged is None:
             return VersionProgress(
                 number=version.number, named_s=named_s, described=False, missing=0
@@ -262,14 +266,14 @@
         return not self._read_back and age_s < self._stage_patience_s
 
     async def _install(self, staged: StagedVersion, bound: float) -> None:
-        await self._stage.lay(staged)
+        await self._stage.stage_pieces(staged)
         if not await self._stage.verify(staged):
             return
         self._watch.switching = True
-        await self._watch.tell()
+        await self._watch.publish()
         try:
             if self._is_in_use(bound, self._watch.report):
-                await asyncio.sleep(NOTICE_S)
+                await asyncio.sleep(SWITCH_NOTICE_S)
             report = await self._watch.refresh()
             if report is None or not self._is_our_turn(staged, bound, report, announced=True):
                 return  # another one announced at the same time, and comes first
@@ -279,12 +283,12 @@
             await self._order(staged, report)
         finally:
             self._watch.switching = False
-            await self._watch.tell()
+            await self._watch.publish()
 
     async def _let_finish(self) -> EngineReport | None:
         """Let requests in progress end; the order breaks off what still runs after that time."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + FINISH_S
+        until_s = loop.time() + DRAIN_TIMEOUT_S
         while loop.time() < until_s:
             report = await self._watch.refresh()
             if report is None or report.active + report.queued == 0:
@@ -307,7 +311,7 @@
             active=report.active,
             queued=report.queued,
         )
-        ordered = await self._engine.order(order)
+        ordered = await self._engine.order_load(order)
         if ordered.is_err():
             log.warning("order not acknowledged", failure=str(ordered.unwrap_err()))
             await asyncio.sleep(ORDER_AGAIN_S)
--- a/src/leadhollow/staging/link_gauge.py
+++ b/src/leadhollow/staging/link_monitor.py
@@ -12,17 +12,17 @@
 from leadhollow.wire.generated.ttypes import FeedProbe
 from leadhollow.wire.peers import PeerPool
 
-INTERVAL_S = 0.2
-PROBES_PER_S = 250.0
+MIN_PROBE_INTERVAL_S = 0.2
+MAX_PROBES_PER_S = 250.0
 """Of all stagers together: a hundred of them probe each 0.4 s, so that a replica which a fifth of
 them follow answers fifty a second at any size."""
 
 TIMEOUT_MS = 1_000
-SLOW_S = 0.35  # a few pieces in front of the probe in both directions explain less
+SLOW_PROBE_S = 0.35  # a few pieces in front of the probe in both directions explain less
 FAST_S = 0.2
 SHRINK = 0.6
 GROW = 0.05
-LEAST = 0.1
+MIN_SHARE = 0.1
 
 log = get_logger("link")
 
@@ -36,7 +36,7 @@
         self.took_s: float | None = None  # while it is on its way
 
 
-class LinkGauge(TaskService):
+class LinkMonitor(TaskService):
     """Sends small probes to the control replica that is followed, and times the answers.
 
     Parameters
@@ -58,12 +58,12 @@
         feed: ControlFeed,
         peers: PeerPool,
         vm: str,
-        stagers: Callable[[], int] = lambda: 1,
+        stager_count: Callable[[], int] = lambda: 1,
     ) -> None:
         self._feed = feed
         self._peers = peers
         self._vm = vm
-        self._stagers = stagers
+        self._stagers = stager_count
         self._probe: _Probe | None = None
         self._last_delay_s = 0.0
         self.share = 1.0
@@ -71,7 +71,7 @@
 
     async def _work(self) -> None:
         while True:
-            await asyncio.sleep(max(INTERVAL_S, self._stagers() / PROBES_PER_S))
+            await asyncio.sleep(max(MIN_PROBE_INTERVAL_S, self._stagers() / MAX_PROBES_PER_S))
             source = self._feed.source
             if not source:
                 continue
@@ -79,7 +79,7 @@
             self._probe = _Probe(source=source, asked_s=asked_s)
             answered = await self._peers.call(source, FeedProbe(self._vm), timeout_ms=TIMEOUT_MS)
             self._probe.took_s = active_s() - asked_s
-            self.note(self._probe.took_s, lost=answered.is_err())
+            self.record_probe(self._probe.took_s, lost=answered.is_err())
 
     def delay_s(self) -> float:
         """Give what small messages take to this VM and back now, as far as is known.
@@ -94,16 +94,16 @@
             return probe.took_s
         return max(self._last_delay_s, active_s() - probe.asked_s)
 
-    def note(self, delay_s: float, *, lost: bool) -> None:
+    def record_probe(self, delay_s: float, *, lost: bool) -> None:
         """Take one probe's delay.
 
         A lost probe says nothing of our link where the one before was quick: the control replica
         may be gone.
         """
         before = self.share
-        slow = self._last_delay_s > FAST_S if lost else delay_s > SLOW_S
+        slow = self._last_delay_s > FAST_S if lost else delay_s > SLOW_PROBE_S
         if slow:
-            self.share = max(LEAST, self.share * SHRINK)
+            self.share = max(MIN_SHARE, self.share * SHRINK)
         elif lost or delay_s < FAST_S:
             self.share = min(1.0, self.share + GROW)
         if not lost:
--- a/src/leadhollow/staging/origin_turns.py
+++ b/src/leadhollow/staging/origin_schedule.py
@@ -9,15 +9,15 @@
 
 from collections.abc import Iterable
 
-AHEAD = 4  # pieces asked for at a time: the next request is there before a piece has left
+READ_AHEAD = 4  # pieces asked for at a time: the next request is there before a piece has left
 PROBE_STEP_S = 0.5
 """While the origin does not answer, a few readers try it and one more after each such time. When it
 answers again, the others do not all ask at once."""
 
-LONGEST_PAUSE_S = 8.0  # even the last reader tries again this soon, whatever it hears of others
+MAX_RETRY_DELAY_S = 8.0  # even the last reader tries again this soon, whatever it hears of others
 
 
-class OriginTurns:
+class OriginSchedule:
     """Moments from which the pieces of one version may be read.
 
     Parameters
@@ -33,16 +33,16 @@
         Whether the origin did not answer, and nobody is known to have read a piece since.
     """
 
-    __slots__ = ("_begin_s", "_piece_s", "_places", "_unread", "away")
+    __slots__ = ("_begin_s", "_piece_s", "_places", "_unread", "unavailable")
 
     def __init__(self, *, begin_s: float, piece_s: float) -> None:
         self._begin_s = begin_s
         self._piece_s = piece_s
         self._places: dict[int, int] = {}  # empty while pieces go by their numbers
         self._unread = 0  # bits of the pieces that nobody held when the origin did not answer
-        self.away = False
+        self.unavailable = False
 
-    def fail(self, unread: Iterable[int], now_s: float) -> None:
+    def record_failure(self, unread: Iterable[int], now_s: float) -> None:
         """Take note that the origin did not answer.
 
         Parameters
@@ -53,9 +53,9 @@
         self._begin_s = now_s
         self._places = {index: place for place, index in enumerate(sorted(unread))}
         self._unread = sum(1 << index for index in self._places)
-        self.away = True
+        self.unavailable = True
 
-    def hear(self, held: int, now_s: float) -> None:
+    def record_held(self, held: int, now_s: float) -> None:
         """Take note of what others hold: a piece that nobody held before shows the origin is back.
 
         Parameters
@@ -63,21 +63,21 @@
         held
             Bits of the pieces.
         """
-        if self.away and held & self._unread:
-            self.answer(now_s)
+        if self.unavailable and held & self._unread:
+            self.record_success(now_s)
 
-    def answer(self, now_s: float) -> None:
+    def record_success(self, now_s: float) -> None:
         """Take note that the origin answers; after it was away turns begin anew."""
-        if self.away:
+        if self.unavailable:
             self._begin_s = now_s
-            self.away = False
+            self.unavailable = False
 
     def due_s(self, index: int) -> float:
         """Give the loop time from which a piece may be read."""
-        before = max(0, self._places.get(index, index) + 1 - AHEAD)
-        if self.away:
-            return self._begin_s + min(LONGEST_PAUSE_S, before * max(self._piece_s, PROBE_STEP_S))
+        before = max(0, self._places.get(index, index) + 1 - READ_AHEAD)
+        if self.unavailable:
+            return self._begin_s + min(MAX_RETRY_DELAY_S, before * max(self._piece_s, PROBE_STEP_S))
         return self._begin_s + before * self._piece_s
 
 
-__all__ = ["AHEAD", "LONGEST_PAUSE_S", "PROBE_STEP_S", "OriginTurns"]
+__all__ = ["AHEAD", "MAX_RETRY_DELAY_S", "PROBE_STEP_S", "OriginTurns"]
--- a/src/leadhollow/staging/sharing.py
+++ b/src/leadhollow/staging/piece_assignment.py
@@ -15,7 +15,7 @@
 from collections.abc import Collection, Sequence
 from itertools import accumulate
 
-SUCCESSORS = 4
+SUCCESSOR_COUNT = 4
 """Stagers that share the pieces of a lost reader; each follows as many before it in the order, so
 that it knows. One alone would read twice as much as the others of a small fleet."""
 
@@ -42,7 +42,7 @@
         return hash(self.address)
 
 
-class Sharing:
+class PieceAssignment:
     """Tasks of one version among the stagers that are known.
 
     Parameters
@@ -57,14 +57,14 @@
     __slots__ = ("_alive", "_alive_before", "_by_domain", "_order", "_places", "_successors")
 
     def __init__(
-        self, *, number: int, stagers: Sequence[Stager], lost: Collection[str] = ()
+        self, *, number: int, stagers: Sequence[Stager], unreachable: Collection[str] = ()
     ) -> None:
         def rank(stager: Stager) -> int:
             return zlib.crc32(f"{number}/{stager.address}".encode())
 
         self._order = sorted(stagers, key=rank)
         self._places = {stager.address: place for place, stager in enumerate(self._order)}
-        self._alive = [stager.address not in lost for stager in self._order]
+        self._alive = [stager.address not in unreachable for stager in self._order]
         self._alive_before = [0, *accumulate(map(int, self._alive))]
         self._successors: dict[int, list[Stager]] = {}
         self._by_domain: dict[str, dict[str, int]] = {}
@@ -81,7 +81,7 @@
         instead = self._instead_of(place)
         return instead[turn % len(instead)]
 
-    def reader_place(self, index: int, stager: Stager) -> int:
+    def reader_rank(self, index: int, stager: Stager) -> int:
         """Give how many others come before a stager in reading a piece from the origin."""
         first = index % len(self._order)
         own = self._places[stager.address]
@@ -94,13 +94,13 @@
         ahead = self._alive_between(first, self._places[reader.address]) < before
         return before if ahead else before + 1
 
-    def importer_place(self, index: int, stager: Stager) -> int:
+    def importer_rank(self, index: int, stager: Stager) -> int:
         """Give how many others of its domain come before a stager in bringing a piece in."""
         inside = self._by_domain[stager.failure_domain]
         first = inside[self.importer(index, stager.failure_domain).address]
         return (inside[stager.address] - first) % len(inside)
 
-    def importers(self, failure_domain: str) -> int:
+    def importer_count(self, failure_domain: str) -> int:
         """Count the stagers of a failure domain."""
         return len(self._by_domain[failure_domain])
 
@@ -113,7 +113,7 @@
         address = list(inside)[index % len(inside)]
         return self._order[self._places[address]]
 
-    def followed(self, own: Stager, *, pieces: int, places: int) -> set[str]:
+    def stagers_to_follow(self, own: Stager, *, piece_count: int, max_rank: int) -> set[str]:
         """Give the stagers of other domains whose word one needs.
 
         Parameters
@@ -132,14 +132,14 @@
         """
         size = len(self._order)
         at = self._places[own.address]
-        found = {self._order[(at - 1 - step) % size] for step in range(min(SUCCESSORS, size))}
+        found = {self._order[(at - 1 - step) % size] for step in range(min(SUCCESSOR_COUNT, size))}
         domains = sorted(set(self._by_domain) - {own.failure_domain})
-        for index in range(pieces):
+        for index in range(piece_count):
             reader = self.origin_reader(index)
             if reader.failure_domain == own.failure_domain:
                 continue
-            place = self.importer_place(index, own)
-            if place <= places:
+            place = self.importer_rank(index, own)
+            if place <= max_rank:
                 found.add(reader)
             if place == 0:
                 found.add(self.importer(index, domains[index % len(domains)]))
@@ -156,7 +156,7 @@
         if found is None:
             size = len(self._order)
             after = [(place + step) % size for step in range(1, size)]
-            found = [self._order[other] for other in after if self._alive[other]][:SUCCESSORS]
+            found = [self._order[other] for other in after if self._alive[other]][:SUCCESSOR_COUNT]
             self._successors[place] = found
         return found
 
--- a/src/leadhollow/staging/piece_fetch.py
+++ b/src/leadhollow/staging/piece_fetch.py
@@ -16,15 +16,15 @@
 from leadhollow.failure import Failure
 from leadhollow.kernel.active_time import active_s
 from leadhollow.observe.logs import get_logger
-from leadhollow.staging.choice import Origin, SourceChoice
-from leadhollow.staging.news import news_pause_s
+from leadhollow.staging.announcements import announce_interval_s
 from leadhollow.staging.origin_source import OriginSource
-from leadhollow.staging.patience import LONGEST_IMPORT_S, TaskPatience
-from leadhollow.staging.piece_source import MEET_S, PieceSource
+from leadhollow.staging.piece_assignment import Stager
+from leadhollow.staging.piece_source import CONNECT_GRACE_S, PieceSource
+from leadhollow.staging.piece_window import PieceWindow
 from leadhollow.staging.pieces import StagedVersion
-from leadhollow.staging.sharing import Stager
-from leadhollow.staging.turns import turn_of
-from leadhollow.staging.window import PieceWindow
+from leadhollow.staging.source_selector import Origin, SourceSelector
+from leadhollow.staging.switch_order import switch_rank
+from leadhollow.staging.takeover_delays import MAX_IMPORT_DELAY_S, TakeoverDelays
 from leadhollow.weights.bitmap import Bitmap
 from leadhollow.weights.pacing import Pacer
 from leadhollow.wire.generated.ttypes import PieceNews, PieceWatch, SliceReply, SliceRequest
@@ -37,7 +37,7 @@
 what came to it, and slices on their way keep our link busy for five times as long."""
 
 FOLLOW_INTERVAL_S = 0.2  # how often it is looked who takes part; who ends is noticed at once
-WIDEN_S = 2 * LONGEST_IMPORT_S
+WIDEN_S = 2 * MAX_IMPORT_DELAY_S
 """Time after which one more place of those that bring pieces in follows the readers outside: those
 before it have had theirs, and do not bring the piece."""
 
@@ -51,7 +51,7 @@
 
 PATIENCE_MS = 1_200  # a sender that is asked by everybody takes a few tenths of a second
 TRAVEL_MS = 800  # what a slice may take on its way besides
-OVERDUE_S = 1.2
+SLOW_PIECE_S = 1.2
 """A piece takes 0.4 s where all links are full. One that takes three times as long is asked of
 another holder, or of the origin: a sender on a narrow link that alone holds a piece would keep
 every engine from the version."""
@@ -106,7 +106,7 @@
         "_wake",
         "_window",
         "version",
-        "yields",
+        "origin_only",
     )
 
     def __init__(
@@ -123,7 +123,7 @@
         seed: int,
     ) -> None:
         self.version = version
-        self.yields = False
+        self.origin_only = False
         self._own = own
         self._others = others
         self._origin = origin
@@ -131,13 +131,13 @@
         self._download = Pacer(
             rate_bytes_per_s=lambda: link_bytes_per_s() * DOWNLOAD_SHARE, burst_s=BURST_S
         )
-        patience = TaskPatience(
+        patience = TakeoverDelays(
             piece_bytes=version.manifest.chunk_bytes,
             origin_bytes_per_s=origin_bytes_per_s,
             link_bytes_per_s=link_bytes_per_s,
-            news_pause_s=lambda: news_pause_s(len(self._sources)),
+            announce_interval_s=lambda: announce_interval_s(len(self._sources)),
         )
-        self._choice = SourceChoice(own=own, number=version.number, seed=seed, patience=patience)
+        self._choice = SourceSelector(own=own, number=version.number, seed=seed, delays=patience)
         self._origin_progress_s = 0.0
         self._sources: dict[str, PieceSource] = {}
         self._ordered: dict[int, PieceSource | None] = {}  # pieces on their way; None: the origin
@@ -162,7 +162,7 @@
         tasks.append(loop.create_task(self._keep_reporting()))
         try:
             while not self.version.complete:
-                await self.version.changed()
+                await self.version.wait_changed()
         finally:
             for source in self._sources.values():
                 tasks += source.tasks
@@ -225,7 +225,9 @@
         ]
         self._look(now_s)
         places = 1 + int((now_s - self._started_s) / WIDEN_S)
-        needed = self._choice.followed(pieces=self.version.held.count, places=places)
+        needed = self._choice.stagers_to_follow(
+            piece_count=self.version.held.count, max_rank=places
+        )
         for stager in self._unfollowed:
             if stager.address in needed or stager.failure_domain == self._own.failure_domain:
                 source = PieceSource(stager=stager, count=self.version.held.count)
@@ -238,18 +240,18 @@
         self._turn = self._turn_among(present.values())
 
     def _look(self, now_s: float) -> None:
-        self._choice.look(
+        self._choice.update(
             self._sources.values(),
             number=self.version.number,
             now_s=now_s,
-            others=self._unfollowed,
+            unfollowed=self._unfollowed,
         )
 
     def _knows_others(self) -> bool:
         """Tell whether it is known who takes part; the origin must not be asked by everybody."""
-        if active_s() - self._started_s > MEET_S:
+        if active_s() - self._started_s > CONNECT_GRACE_S:
             return True
-        return bool(self._sources) and all(source.tried for source in self._sources.values())
+        return bool(self._sources) and all(source.contacted for source in self._sources.values())
 
     def _plan(self) -> None:
         """Order missing pieces that somebody holds, as far as our link goes."""
@@ -258,8 +260,8 @@
             return
         missing = [index for index in self.version.held.missing() if index not in self._ordered]
         self._look(now_s)
-        for index in self._choice.in_order(missing, now_s):
-            source = self._choice.source(index, now_s)
+        for index in self._choice.prioritise(missing, now_s):
+            source = self._choice.choose(index, now_s)
             if isinstance(source, PieceSource):
                 self._order_from_stager(index, source)
             elif source is Origin.ORIGIN:
@@ -271,7 +273,7 @@
         now_s = active_s()
         self._ordered[index] = source
         self._ordered_s[index] = now_s
-        source.order(index, now_s)
+        source.record_request(index, now_s)
         self._spawn(source, self._receive(source, index))
 
     def _order_from_origin(self, index: int) -> None:
@@ -283,19 +285,19 @@
 
     def _stager_room(self) -> bool:
         """Tell whether another piece may be ordered from a stager now."""
-        if self.yields:
+        if self.origin_only:
             return False
         at_origin = self._on_order_at_origin()
         from_stagers = len(self._ordered) - at_origin
         silent_s = active_s() - self._origin_progress_s
         coming = at_origin if silent_s < ORIGIN_SILENT_S else 0
-        return self._window.stager_room(from_stagers=from_stagers, from_origin=coming)
+        return self._window.allows_stager(from_stagers=from_stagers, from_origin=coming)
 
     def _origin_room(self) -> bool:
         """Tell whether another piece may be ordered from the origin now."""
         at_origin = self._on_order_at_origin()
         from_stagers = len(self._ordered) - at_origin
-        return self._window.origin_room(from_stagers=from_stagers, from_origin=at_origin)
+        return self._window.allows_origin(from_stagers=from_stagers, from_origin=at_origin)
 
     def _on_order_at_origin(self) -> int:
         return sum(1 for source in self._ordered.values() if source is None)
@@ -319,7 +321,7 @@
                         Bitmap.from_bytes(news.held or b"", count=version.held.count).indexes()
                     )
                     source.held.add_all(news.added or ())
-                    source.tried = True
+                    source.contacted = True
                     self._wake.set()
                 if connected.unwrap().closed.is_set():
                     self._set_lost(source)
@@ -345,10 +347,10 @@
         Not where our own link is slow: then all sources are.
         """
         now_s = active_s()
-        overdue = now_s - self._ordered_s[index] > OVERDUE_S
+        overdue = now_s - self._ordered_s[index] > SLOW_PIECE_S
         if not overdue or self._window.link_slow:
             return False
-        if not self._choice.elsewhere(index, source, now_s):
+        if not self._choice.available_elsewhere(index, source, now_s):
             return False
         log.info("source is slow", piece=index, source=source.stager.address)
         source.avoid(now_s)
@@ -385,8 +387,8 @@
             self._note_failed(source, index, answered.unwrap_err(), now_s)
             return False
         reply: SliceReply = answered.unwrap()
-        self._window.note(now_s - asked_s - (reply.waited_ms or 0) / 1000)
-        source.note_slice(now_s - asked_s, now_s)
+        self._window.record_slice(now_s - asked_s - (reply.waited_ms or 0) / 1000)
+        source.record_slice(now_s - asked_s, now_s)
         self._arrived_s = now_s
         self._parts.setdefault(index, []).append(reply.data or b"")
         return True
@@ -400,11 +402,11 @@
         elif now_s - self._arrived_s < PATIENCE_MS / 1000:
             source.avoid(now_s)  # others do answer, so it is not our own link
         else:
-            self._window.note(PATIENCE_MS / 1000)
+            self._window.record_slice(PATIENCE_MS / 1000)
 
     def _take(self, source: PieceSource, index: int, data: bytes) -> None:
-        source.ordered.discard(index)
-        if self.version.take(index, data):
+        source.requested.discard(index)
+        if self.version.add(index, data):
             self._ordered.pop(index, None)
             self._wake.set()
             return
@@ -416,13 +418,13 @@
     def _turn_among(self, others: Iterable[Stager]) -> int:
         """Give our place among those that change first; all later ones share the last place."""
         number = self.version.number
-        own = turn_of(self._own.address, number)
-        before = sum(1 for stager in others if turn_of(stager.address, number) < own)
+        own = switch_rank(self._own.address, number)
+        before = sum(1 for stager in others if switch_rank(stager.address, number) < own)
         return min(before, EARLY_TURNS)
 
     def _give_back(self, source: PieceSource, index: int) -> None:
         """Let a piece that did not come be ordered anew."""
-        source.ordered.discard(index)
+        source.requested.discard(index)
         if self._ordered.get(index) is source:
             del self._ordered[index]
         self._wake.set()
@@ -430,11 +432,11 @@
     def _lose(self, source: PieceSource) -> None:
         for task in source.tasks:
             task.cancel()
-        for index in list(source.ordered):
+        for index in list(source.requested):
             self._give_back(source, index)
 
     def _set_lost(self, source: PieceSource) -> None:
-        source.tried = True
+        source.contacted = True
         source.connected = False
         self._wake.set()
 
@@ -448,13 +450,13 @@
                 now_s = active_s()
                 self._origin_progress_s = now_s
                 if data is None:
-                    self._choice.origin_failed(now_s)
+                    self._choice.record_origin_failure(now_s)
                     self._drop_orders_at_origin()
-                elif not version.take(index, data):
+                elif not version.add(index, data):
                     log.warning("piece spoilt", index=index, source="origin")
                     await asyncio.sleep(FAILED_PAUSE_S)
                 else:
-                    self._choice.origin_answered(now_s)
+                    self._choice.record_origin_success(now_s)
             self._ordered.pop(index, None)
             self._wake.set()
 
--- a/src/leadhollow/staging/piece_server.py
+++ b/src/leadhollow/staging/piece_server.py
@@ -10,7 +10,7 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.kernel.task_service import TaskService
-from leadhollow.staging.news import news_pause_s
+from leadhollow.staging.announcements import announce_interval_s
 from leadhollow.staging.pieces import PieceStore
 from leadhollow.weights.bitmap import Bitmap
 from leadhollow.weights.pacing import Pacer
@@ -104,7 +104,7 @@
         handlers: HandlerTable,
         link_bytes_per_s: Callable[[], float],
         failure_domain: str,
-        hurries: Callable[[], bool] = lambda: False,
+        urgent: Callable[[], bool] = lambda: False,
     ) -> None:
         self._store = store
         self._failure_domain = failure_domain
@@ -112,7 +112,7 @@
         self._asked = 0
 
         def rate_bytes_per_s() -> float:
-            return link_bytes_per_s() * (HURRIED_SHARE if hurries() else LINK_SHARE)
+            return link_bytes_per_s() * (HURRIED_SHARE if urgent() else LINK_SHARE)
 
         self._pacer = Pacer(rate_bytes_per_s=rate_bytes_per_s, burst_s=BURST_S)
         self._wake = asyncio.Event()
@@ -210,8 +210,8 @@
         while not told.complete:
             news = [index for index in version.held.indexes() if index not in told]
             if not news:
-                await version.changed()
-                await asyncio.sleep(news_pause_s(self._watchers))
+                await version.wait_changed()
+                await asyncio.sleep(announce_interval_s(self._watchers))
                 continue
             told.add_all(news)
             await sink.send(PieceNews(b"", news))
--- a/src/leadhollow/staging/piece_source.py
+++ b/src/leadhollow/staging/piece_source.py
@@ -4,12 +4,14 @@
 
 import asyncio
 
-from leadhollow.staging.sharing import Stager
+from leadhollow.staging.piece_assignment import Stager
 from leadhollow.weights.bitmap import Bitmap
 
 AVOIDED_S = 1.5  # how long a source that did not answer is left alone
-MEET_S = 0.5  # time to reach another stager; who was not reached within it is taken for lost
-HANGS_AFTER_S = 0.7  # a source that owes us slices and sent none for so long is asked for no more
+CONNECT_GRACE_S = (
+    0.5  # time to reach another stager; who was not reached within it is taken for lost
+)
+SILENT_AFTER_S = 0.7  # a source that owes us slices and sent none for so long is asked for no more
 USUAL_SLICE_S = 0.05  # assumed of a source that has sent nothing yet
 SLICE_WEIGHT = 0.3  # of the newest slice in the running mean
 
@@ -37,42 +39,42 @@
         "connected",
         "followed_s",
         "held",
-        "ordered",
+        "requested",
         "progress_s",
         "slice_s",
         "stager",
         "tasks",
-        "tried",
+        "contacted",
     )
 
     def __init__(self, *, stager: Stager, count: int) -> None:
         self.stager = stager
         self.held = Bitmap(count=count)
-        self.ordered: set[int] = set()
+        self.requested: set[int] = set()
         self.connected = False
         self.followed_s = 0.0
-        self.tried = False
+        self.contacted = False
         self.progress_s = 0.0
         self.slice_s = USUAL_SLICE_S
         self.avoided_until_s = 0.0
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def usable(self, now_s: float) -> bool:
+    def is_usable(self, now_s: float) -> bool:
         """Tell whether it can be asked."""
-        hangs = bool(self.ordered) and now_s - self.progress_s > HANGS_AFTER_S
+        hangs = bool(self.requested) and now_s - self.progress_s > SILENT_AFTER_S
         return self.connected and now_s >= self.avoided_until_s and not hangs
 
-    def lost(self, now_s: float) -> bool:
+    def is_unreachable(self, now_s: float) -> bool:
         """Tell whether it cannot be reached."""
-        return not self.connected and (self.tried or now_s - self.followed_s > MEET_S)
+        return not self.connected and (self.contacted or now_s - self.followed_s > CONNECT_GRACE_S)
 
-    def order(self, index: int, now_s: float) -> None:
+    def record_request(self, index: int, now_s: float) -> None:
         """Note a piece that is asked for there."""
-        if not self.ordered:
+        if not self.requested:
             self.progress_s = now_s
-        self.ordered.add(index)
+        self.requested.add(index)
 
-    def note_slice(self, took_s: float, now_s: float) -> None:
+    def record_slice(self, took_s: float, now_s: float) -> None:
         """Take the time from a request to its slice."""
         self.progress_s = now_s
         self.slice_s += SLICE_WEIGHT * (took_s - self.slice_s)
--- a/src/leadhollow/staging/window.py
+++ b/src/leadhollow/staging/piece_window.py
@@ -8,11 +8,11 @@
 """Slices on their way, each of another piece: enough to keep our link full while senders are busy
 with others, and no more, because the requests for the engine come over the same link."""
 
-HURRIED_WINDOW = 7  # where the version would come too late otherwise
+URGENT_WINDOW = 7  # where the version would come too late otherwise
 
-FROM_ORIGIN = 2  # of them, further ones from the origin: one on its way, one to follow it at once
+ORIGIN_WINDOW = 2  # of them, further ones from the origin: one on its way, one to follow it at once
 SLOW_SLICE_S = 0.25  # on its way; with a full window and pieces of the origin it is a tenth
-QUICK_SLICE_S = 0.12
+FAST_SLICE_S = 0.12
 STEP = 0.25
 
 
@@ -30,17 +30,17 @@
         Whether pieces go before requests, since the version would come too late.
     """
 
-    __slots__ = ("_link_share", "_size", "hurries")
+    __slots__ = ("_link_share", "_size", "urgent")
 
     def __init__(self, *, link_share: Callable[[], float]) -> None:
         self._link_share = link_share
         self._size = float(WINDOW)
-        self.hurries = False
+        self.urgent = False
 
     @property
     def size(self) -> int:
         """Pieces of which a slice may be on its way; at least one."""
-        most = HURRIED_WINDOW / WINDOW if self.hurries else 1.0
+        most = URGENT_WINDOW / WINDOW if self.urgent else 1.0
         return max(1, round(self._size * most * self._link_share()))
 
     @property
@@ -49,29 +49,29 @@
         return self._link_share() < 1.0
 
     @property
-    def narrowed(self) -> bool:
+    def reduced(self) -> bool:
         """Whether the link is thought to be slow; what the origin sends then counts too."""
         return self.size < WINDOW
 
-    def note(self, took_s: float) -> None:
+    def record_slice(self, took_s: float) -> None:
         """Take the time that a slice was on its way, without its wait at the sender."""
         if took_s > SLOW_SLICE_S:
             self._size = max(1.0, self._size / 2)
-        elif took_s < QUICK_SLICE_S:
+        elif took_s < FAST_SLICE_S:
             self._size = min(float(WINDOW), self._size + STEP)
 
-    def stager_room(self, *, from_stagers: int, from_origin: int) -> bool:
+    def allows_stager(self, *, from_stagers: int, from_origin: int) -> bool:
         """Tell whether another stager may be asked for one more piece."""
-        return from_stagers + (from_origin if self.narrowed else 0) < self.size
+        return from_stagers + (from_origin if self.reduced else 0) < self.size
 
-    def origin_room(self, *, from_stagers: int, from_origin: int) -> bool:
+    def allows_origin(self, *, from_stagers: int, from_origin: int) -> bool:
         """Tell whether the origin may be asked for one more piece.
 
         Over a slow link one piece at a time, whether stagers owe us more or not: they may have
         nothing that we need.
         """
-        if not self.narrowed:
-            return from_origin < FROM_ORIGIN
+        if not self.reduced:
+            return from_origin < ORIGIN_WINDOW
         return from_origin == 0 and from_stagers <= self.size
 
 
--- a/src/leadhollow/staging/pieces.py
+++ b/src/leadhollow/staging/pieces.py
@@ -32,7 +32,7 @@
         """Whether no piece is missing."""
         return self.held.complete
 
-    def take(self, index: int, data: bytes) -> bool:
+    def add(self, index: int, data: bytes) -> bool:
         """Keep a piece; False where the bytes are not this piece."""
         if index in self._pieces:
             return True
@@ -49,7 +49,7 @@
         """Give a piece, None where it is not held."""
         return self._pieces.get(index)
 
-    async def changed(self) -> None:
+    async def wait_changed(self) -> None:
         """Wait for the next piece."""
         await self._changed.wait()
 
@@ -71,7 +71,7 @@
         """Find a version."""
         return self._versions.get((model, number))
 
-    def open(self, version: NamedVersion) -> StagedVersion | None:
+    def find_or_create(self, version: NamedVersion) -> StagedVersion | None:
         """Find or begin a version; None while it is not described."""
         found = self.find(version.model, version.number)
         if found is not None or version.manifest is None:
--- a/src/leadhollow/staging/choice.py
+++ b/src/leadhollow/staging/source_selector.py
@@ -6,20 +6,20 @@
 import random
 from collections.abc import Collection
 
-from leadhollow.staging.origin_turns import AHEAD, LONGEST_PAUSE_S, OriginTurns
-from leadhollow.staging.patience import LONGEST_IMPORT_S, LONGEST_READ_S, TaskPatience
+from leadhollow.staging.origin_schedule import MAX_RETRY_DELAY_S, READ_AHEAD, OriginSchedule
+from leadhollow.staging.piece_assignment import PieceAssignment, Stager
 from leadhollow.staging.piece_source import PieceSource
-from leadhollow.staging.sharing import Sharing, Stager
+from leadhollow.staging.takeover_delays import MAX_IMPORT_DELAY_S, MAX_READ_DELAY_S, TakeoverDelays
 
-FAILED_RECENTLY_S = LONGEST_PAUSE_S + 2.0
+ORIGIN_FAILURE_VALID_S = MAX_RETRY_DELAY_S + 2.0
 """An origin that failed last is taken for away for so long: a reader asks it again only when its
 turn comes, and takes a moment to find out."""
 
-AWAY_S = 0.2  # an origin that did not answer is asked again after it
+ORIGIN_RETRY_S = 0.2  # an origin that did not answer is asked again after it
 
-PASSED_BY = 2 * AHEAD  # pieces in their order that the origin has come further by then
-LEAST_FOLLOWED = 2  # stagers of a failure domain that have to be lost for it to be cut off
-PER_SOURCE = 2  # pieces ordered from one stager at a time; it serves others too
+OVERTAKEN_BY = 2 * READ_AHEAD  # pieces in their order that the origin has come further by then
+MIN_FOLLOWED = 2  # stagers of a failure domain that have to be lost for it to be cut off
+MAX_REQUESTS_PER_SOURCE = 2  # pieces ordered from one stager at a time; it serves others too
 
 
 class Origin(enum.Enum):
@@ -28,7 +28,7 @@
     ORIGIN = enum.auto()
 
 
-class SourceChoice:
+class SourceSelector:
     """Chooses for the pieces of one version.
 
     A piece crosses into a failure domain once, and leaves the origin once, as long as those whose
@@ -67,34 +67,34 @@
         "_unread",
     )
 
-    def __init__(self, *, own: Stager, number: int, seed: int, patience: TaskPatience) -> None:
+    def __init__(self, *, own: Stager, number: int, seed: int, delays: TakeoverDelays) -> None:
         self._own = own
-        self._patience = patience
+        self._patience = delays
         self._away_until_s = 0.0
         self._failed_s = float("-inf")  # when the origin failed, unless it answered since
         self._near = 0  # bits of the pieces that neighbours hold
         self._far = 0  # and of those that others hold
-        self._read_s = LONGEST_READ_S
-        self._import_s = LONGEST_IMPORT_S
+        self._read_s = MAX_READ_DELAY_S
+        self._import_s = MAX_IMPORT_DELAY_S
         self._random = random.Random(seed)
-        self._sharing = Sharing(number=number, stagers=[own])
+        self._sharing = PieceAssignment(number=number, stagers=[own])
         self._shared_among: tuple[frozenset[str], frozenset[str]] = frozenset(), frozenset()
         self._sources: list[PieceSource] = []
         self._inside: list[tuple[PieceSource, int]] = []  # usable ones with what they hold
         self._outside: list[tuple[PieceSource, int]] = []
         self._step_in_from_s: float | None = None  # while our own part is not read
         self._outside_since_s: dict[int, float] = {}
-        self._turns: OriginTurns | None = None  # from the first look on
+        self._turns: OriginSchedule | None = None  # from the first look on
         self._unread: list[int] = []  # as of the last order
         self._passed_s: dict[int, float] = {}  # when others were seen to have read much later ones
 
-    def look(
+    def update(
         self,
         sources: Collection[PieceSource],
         *,
         number: int,
         now_s: float,
-        others: Collection[Stager] = (),
+        unfollowed: Collection[Stager] = (),
     ) -> None:
         """Take note of who can be asked now.
 
@@ -103,7 +103,7 @@
         others
             Stagers that take part and are not followed.
         """
-        self._sources = [source for source in sources if source.usable(now_s)]
+        self._sources = [source for source in sources if source.is_usable(now_s)]
         own_domain = self._own.failure_domain
         self._inside = []
         self._outside = []
@@ -117,46 +117,48 @@
                 self._far |= held
                 self._outside.append((source, held))
         if self._turns is None:
-            self._turns = OriginTurns(begin_s=now_s, piece_s=self._patience.origin_piece_s())
-        was_away = self._turns.away
-        self._turns.hear(self._near | self._far, now_s)
-        if was_away and not self._turns.away:
+            self._turns = OriginSchedule(begin_s=now_s, piece_s=self._patience.origin_piece_s())
+        was_away = self._turns.unavailable
+        self._turns.record_held(self._near | self._far, now_s)
+        if was_away and not self._turns.unavailable:
             self._failed_s = float("-inf")
         # one that only hangs keeps its tasks: dealt out anew, all would be read twice
-        lost = _lost(sources, others, now_s)
+        lost = _lost(sources, unfollowed, now_s)
         followed = [source.stager for source in sources]
-        known = frozenset(stager.address for stager in (*followed, *others))
+        known = frozenset(stager.address for stager in (*followed, *unfollowed))
         if (known, lost) != self._shared_among:
             self._shared_among = known, lost
-            stagers = [self._own, *followed, *others]
-            self._sharing = Sharing(number=number, stagers=stagers, lost=lost)
+            stagers = [self._own, *followed, *unfollowed]
+            self._sharing = PieceAssignment(number=number, stagers=stagers, unreachable=lost)
 
-    def followed(self, *, pieces: int, places: int) -> set[str]:
+    def stagers_to_follow(self, *, piece_count: int, max_rank: int) -> set[str]:
         """Give the stagers of other domains that have to be followed."""
-        return self._sharing.followed(self._own, pieces=pieces, places=places)
+        return self._sharing.stagers_to_follow(
+            self._own, piece_count=piece_count, max_rank=max_rank
+        )
 
-    def origin_failed(self, now_s: float) -> None:
+    def record_origin_failure(self, now_s: float) -> None:
         """Take note that the origin does not answer."""
         self._step_in_from_s = None
         self._failed_s = now_s
-        self._away_until_s = now_s + AWAY_S
+        self._away_until_s = now_s + ORIGIN_RETRY_S
         if self._turns is not None:
-            self._turns.fail(self._unread, now_s)
+            self._turns.record_failure(self._unread, now_s)
 
-    def origin_answered(self, now_s: float) -> None:
+    def record_origin_success(self, now_s: float) -> None:
         """Take note that the origin sent a piece."""
         self._failed_s = float("-inf")
         if self._turns is not None:
-            self._turns.answer(now_s)
+            self._turns.record_success(now_s)
 
     def blocked(self, missing: list[int], now_s: float) -> bool:
         """Tell whether nobody holds some of these pieces and the origin does not answer."""
-        if now_s - self._failed_s > FAILED_RECENTLY_S:
+        if now_s - self._failed_s > ORIGIN_FAILURE_VALID_S:
             return False
         held = self._near | self._far
         return any(not held >> index & 1 for index in missing)
 
-    def in_order(self, missing: list[int], now_s: float) -> list[int]:
+    def prioritise(self, missing: list[int], now_s: float) -> list[int]:
         """Give the pieces in the order in which they should be asked for.
 
         Those we are to bring in come first, because neighbours wait for them.
@@ -170,7 +172,7 @@
         self._random.shuffle(shuffled)
         return sorted(shuffled, key=self._rank)
 
-    def source(self, index: int, now_s: float) -> PieceSource | Origin | None:
+    def choose(self, index: int, now_s: float) -> PieceSource | Origin | None:
         """Choose whom to ask for a piece now; None where it has to wait."""
         if self._near >> index & 1:
             return self._freest(self._holders(index, inside=True))
@@ -183,7 +185,7 @@
             return Origin.ORIGIN if now_s >= self._due_s(index) else None
         return Origin.ORIGIN if self._steps_in(index, now_s) else None
 
-    def elsewhere(self, index: int, source: PieceSource, now_s: float) -> bool:
+    def available_elsewhere(self, index: int, source: PieceSource, now_s: float) -> bool:
         """Tell whether a piece can be had of another holder or of the origin."""
         others = [one for one in self._sources if one is not source and index in one.held]
         return bool(others) or now_s >= self._away_until_s
@@ -193,32 +195,32 @@
         held = self._near | self._far
         self._unread = [index for index in missing if not held >> index & 1]
         outside = sum(1 for index in missing if (self._far & ~self._near) >> index & 1)
-        importers = self._sharing.importers(self._own.failure_domain)
-        self._read_s = self._patience.read_s(len(self._unread))
-        self._import_s = self._patience.import_s(outside, importers)
+        importers = self._sharing.importer_count(self._own.failure_domain)
+        self._read_s = self._patience.read_delay_s(len(self._unread))
+        self._import_s = self._patience.import_delay_s(outside, importers)
 
     def _imports(self, index: int, now_s: float) -> bool:
         """Tell whether it is our turn to bring in a piece that is held elsewhere."""
         since_s = self._outside_since_s.setdefault(index, now_s)
-        return now_s - since_s >= self._import_s * self._sharing.importer_place(index, self._own)
+        return now_s - since_s >= self._import_s * self._sharing.importer_rank(index, self._own)
 
     def _steps_in(self, index: int, now_s: float) -> bool:
         """Tell whether it is our turn to read a piece that others should have read."""
         if self._step_in_from_s is not None:
             from_s = max(self._step_in_from_s, self._due_s(index))
-        elif (self._near | self._far) >> (index + PASSED_BY):
+        elif (self._near | self._far) >> (index + OVERTAKEN_BY):
             from_s = self._passed_s.setdefault(index, now_s)
         else:
             return False
-        place = self._sharing.reader_place(index, self._own)
+        place = self._sharing.reader_rank(index, self._own)
         return now_s - from_s >= self._read_s * place
 
     def _due_s(self, index: int) -> float:
         """Give the time from which a piece may be read; past where the origin has come so far."""
         if self._turns is None:
             return float("-inf")
-        come_near = (self._near | self._far) >> max(0, index - AHEAD)
-        if come_near and not self._turns.away:
+        come_near = (self._near | self._far) >> max(0, index - READ_AHEAD)
+        if come_near and not self._turns.unavailable:
             return float("-inf")
         return self._turns.due_s(index)
 
@@ -235,12 +237,12 @@
         return [source for source, held in holders if held >> index & 1]
 
     def _freest(self, sources: list[PieceSource]) -> PieceSource | None:
-        free = [source for source in sources if len(source.ordered) < PER_SOURCE]
+        free = [source for source in sources if len(source.requested) < MAX_REQUESTS_PER_SOURCE]
         return min(free, key=self._busy) if free else None
 
     def _busy(self, source: PieceSource) -> float:
         """Guess when a source would answer; of equal ones chance decides."""
-        return (1 + len(source.ordered)) * source.slice_s * self._random.uniform(0.7, 1.3)
+        return (1 + len(source.requested)) * source.slice_s * self._random.uniform(0.7, 1.3)
 
 
 def _lost(
@@ -251,7 +253,7 @@
     Where that is so for all that are followed of a failure domain, it is taken to be cut off: the
     pieces of those that are not followed would be waited for in vain.
     """
-    found = {source.stager.address for source in sources if source.lost(now_s)}
+    found = {source.stager.address for source in sources if source.is_unreachable(now_s)}
     followed: dict[str, list[bool]] = {}
     for source in sources:
         reached = followed.setdefault(source.stager.failure_domain, [])
@@ -259,7 +261,7 @@
     cut_off = {
         domain
         for domain, reached in followed.items()
-        if len(reached) >= LEAST_FOLLOWED and not any(reached)
+        if len(reached) >= MIN_FOLLOWED and not any(reached)
     }
     found.update(stager.address for stager in others if stager.failure_domain in cut_off)
     return frozenset(found)
--- a/src/leadhollow/staging/engine_loads.py
+++ b/src/leadhollow/staging/switch_coordinator.py
@@ -7,7 +7,7 @@
 
 from leadhollow.membership.control_feed import ControlFeed
 from leadhollow.staging.pieces import StagedVersion
-from leadhollow.staging.turns import EngineStanding, may_switch
+from leadhollow.staging.switch_order import SwitchState, may_switch
 from leadhollow.wire.generated.ttypes import LoadRecord
 
 SWITCH_VALID_S = 3.0
@@ -15,7 +15,7 @@
 else that an engine said of its standing holds until it says something else, or is gone."""
 
 
-class EngineLoads:
+class SwitchCoordinator:
     """Newest report of each engine."""
 
     __slots__ = ("_heard_s", "_records")
@@ -29,7 +29,7 @@
         self,
         own: str,
         staged: StagedVersion,
-        domains: Mapping[str, str],
+        failure_domains: Mapping[str, str],
         *,
         announced: bool,
         left_s: float,
@@ -52,16 +52,16 @@
             _standing(
                 record,
                 staged,
-                failure_domain=domains[address],
+                failure_domain=failure_domains[address],
                 recent=now_s - self._heard_s[address] < SWITCH_VALID_S,
             )
             for address, record in self._records.items()
-            if address in domains and address != own
+            if address in failure_domains and address != own
         ]
         standings.append(
-            EngineStanding(
+            SwitchState(
                 address=own,
-                failure_domain=domains.get(own, ""),
+                failure_domain=failure_domains.get(own, ""),
                 complete=True,
                 switching=False,
                 done=False,
@@ -77,7 +77,7 @@
 
 def _standing(
     record: LoadRecord, staged: StagedVersion, *, failure_domain: str, recent: bool
-) -> EngineStanding:
+) -> SwitchState:
     done = any(
         served.model == staged.model
         and served.version >= staged.number
@@ -87,7 +87,7 @@
     complete = record.staged_version == staged.number and (
         record.staged_pieces == staged.held.count
     )
-    return EngineStanding(
+    return SwitchState(
         address=record.address,
         failure_domain=failure_domain,
         complete=complete,
--- a/src/leadhollow/staging/turns.py
+++ b/src/leadhollow/staging/switch_order.py
@@ -10,11 +10,11 @@
 import zlib
 from collections.abc import Sequence
 
-CHANGE_S = 1.3
+SWITCH_DURATION_S = 1.3
 """From the notice that an engine is about to change until entries know that it is back."""
 
 
-class EngineStanding:
+class SwitchState:
     """How far an engine is with a version.
 
     Parameters
@@ -45,7 +45,7 @@
         self.done = done
 
 
-def turn_of(host: str, number: int) -> int:
+def switch_rank(host: str, number: int) -> int:
     """Give the place of a VM in the order in which engines change to a version.
 
     Parameters
@@ -59,7 +59,7 @@
 def may_switch(
     own: str,
     number: int,
-    standings: Sequence[EngineStanding],
+    engines: Sequence[SwitchState],
     *,
     announced: bool,
     left_s: float = 0.0,
@@ -80,9 +80,9 @@
     left_s
         Time until requests may not go to an engine any more that has not changed.
     """
-    places = _places(number, standings)
+    places = _places(number, engines)
     ahead = 0
-    for standing in standings:
+    for standing in engines:
         if standing.address == own or standing.done:
             continue
         before_us = places[standing.address] < places[own]
@@ -90,30 +90,30 @@
             ahead += 1 if before_us or not announced else 0
         elif standing.complete and not announced:
             ahead += 1 if before_us else 0
-    done = sum(1 for standing in standings if standing.done)
-    return ahead < part_size(len(standings), done, left_s)
+    done = sum(1 for standing in engines if standing.done)
+    return ahead < batch_size(len(engines), done, left_s)
 
 
-def part_size(engines: int, done: int, left_s: float) -> int:
+def batch_size(engine_count: int, done_count: int, left_s: float) -> int:
     """Give how many engines may change at a time.
 
     Half of them, and more once more have changed, where there is no time for smaller parts.
     """
-    most = max(1, engines // 2, done)
-    parts = int(min(left_s / CHANGE_S, engines))
-    return max(1, min(most, -(-(engines - done) // parts))) if parts > 1 else most
+    most = max(1, engine_count // 2, done_count)
+    parts = int(min(left_s / SWITCH_DURATION_S, engine_count))
+    return max(1, min(most, -(-(engine_count - done_count) // parts))) if parts > 1 else most
 
 
-def _places(number: int, standings: Sequence[EngineStanding]) -> dict[str, tuple[int, int]]:
+def _places(number: int, standings: Sequence[SwitchState]) -> dict[str, tuple[int, int]]:
     """Give the order in which engines change: one of each failure domain after the other.
 
     Any part of them then takes as much from one domain as from another.
     """
     places: dict[str, tuple[int, int]] = {}
     inside: dict[str, int] = {}
-    for standing in sorted(standings, key=lambda found: turn_of(found.address, number)):
+    for standing in sorted(standings, key=lambda found: switch_rank(found.address, number)):
         place = inside[standing.failure_domain] = inside.get(standing.failure_domain, 0) + 1
-        places[standing.address] = place, turn_of(standing.address, number)
+        places[standing.address] = place, switch_rank(standing.address, number)
     return places
 
 
--- a/src/leadhollow/staging/patience.py
+++ b/src/leadhollow/staging/takeover_delays.py
@@ -8,13 +8,13 @@
 
 from collections.abc import Callable
 
-from leadhollow.staging.news import NEWS_PAUSE_S
+from leadhollow.staging.announcements import MIN_ANNOUNCE_INTERVAL_S
 
-LONGEST_IMPORT_S = 0.9
+MAX_IMPORT_DELAY_S = 0.9
 """Time in which one stager should bring in a piece that is held elsewhere; it asks for those first.
 Then it is the next one's turn."""
 
-LONGEST_READ_S = 1.2
+MAX_READ_DELAY_S = 1.2
 """Time by which one stager may be later than another in reading its part from the origin, which
 serves all alike; then the next one reads what is left. Several that step in for several at once
 share its link: who loses patience sooner than all of these are read makes it slower for all."""
@@ -27,7 +27,7 @@
 SLACK = 2.0  # links carry requests too, and the origin serves several at once
 
 
-class TaskPatience:
+class TakeoverDelays:
     """Waiting times of one version.
 
     Parameters
@@ -38,7 +38,7 @@
         Gives the speed of the origin's link, 0 where it is not known.
     link_bytes_per_s
         Gives the speed of a stager's link.
-    news_pause_s
+    announce_interval_s
         Gives how long a stager gathers pieces before it tells of them.
     """
 
@@ -50,14 +50,14 @@
         piece_bytes: int,
         origin_bytes_per_s: Callable[[], float],
         link_bytes_per_s: Callable[[], float],
-        news_pause_s: Callable[[], float] = lambda: NEWS_PAUSE_S,
+        announce_interval_s: Callable[[], float] = lambda: MIN_ANNOUNCE_INTERVAL_S,
     ) -> None:
         self._piece_bytes = piece_bytes
         self._origin_bytes_per_s = origin_bytes_per_s
         self._link_bytes_per_s = link_bytes_per_s
-        self._news_pause_s = news_pause_s
+        self._news_pause_s = announce_interval_s
 
-    def read_s(self, unread: int) -> float:
+    def read_delay_s(self, unread: int) -> float:
         """Give the patience with a reader at the origin.
 
         Parameters
@@ -67,16 +67,16 @@
         """
         speed = self._origin_bytes_per_s()
         if speed <= 0:
-            return LONGEST_READ_S
+            return MAX_READ_DELAY_S
         needed_s = unread * self._piece_bytes / speed
-        return min(LONGEST_READ_S, TELL_S + self._news_pause_s() + SLACK * needed_s)
+        return min(MAX_READ_DELAY_S, TELL_S + self._news_pause_s() + SLACK * needed_s)
 
     def origin_piece_s(self) -> float:
         """Give the time in which the origin's link carries a piece; 0 where it is not known."""
         speed = self._origin_bytes_per_s()
         return self._piece_bytes / speed if speed > 0 else 0.0
 
-    def import_s(self, outside: int, importers: int) -> float:
+    def import_delay_s(self, remote: int, importers: int) -> float:
         """Give the patience with one that brings pieces into a failure domain.
 
         Parameters
@@ -86,9 +86,9 @@
         importers
             Stagers of the domain, among whom the pieces are dealt out.
         """
-        each = -(-outside // max(1, importers))
+        each = -(-remote // max(1, importers))
         needed_s = each * self._piece_bytes / self._link_bytes_per_s()
-        return min(LONGEST_IMPORT_S, IMPORT_S + self._news_pause_s() + SLACK * needed_s)
+        return min(MAX_IMPORT_DELAY_S, IMPORT_S + self._news_pause_s() + SLACK * needed_s)
 
 
 __all__ = ["LONGEST_IMPORT_S", "LONGEST_READ_S", "TaskPatience"]
--- a/tests/node/test_wakes.py
+++ b/tests/node/test_wakes.py
@@ -11,8 +11,8 @@
 from leadhollow.membership.reporting import MIN_REPORT_INTERVAL_S, report_interval_s
 from leadhollow.node import entry_role
 from leadhollow.node.entry_role import EntryDispatcher
-from leadhollow.staging.link_gauge import INTERVAL_S, PROBES_PER_S, LinkGauge
-from leadhollow.staging.load_reports import ask_interval_s
+from leadhollow.staging.engine_monitor import poll_interval_s
+from leadhollow.staging.link_monitor import MAX_PROBES_PER_S, MIN_PROBE_INTERVAL_S, LinkMonitor
 from tests.decide.test_engine_queue import EnginePool, make_request
 
 SPAN_S = 0.5
@@ -20,13 +20,15 @@
 
 class TestStager:
     def test_polls_its_engine_ten_times_a_second_in_a_small_fleet(self):
-        assert ask_interval_s(MIN_REPORT_INTERVAL_S) == 0.1
+        assert poll_interval_s(MIN_REPORT_INTERVAL_S) == 0.1
 
     @pytest.mark.parametrize("engines", [41, 102, 300])
     def test_polls_its_engine_less_often_in_a_larger_fleet(self, engines):
-        assert ask_interval_s(report_interval_s(engines)) >= report_interval_s(engines) / 5
+        assert poll_interval_s(report_interval_s(engines)) >= report_interval_s(engines) / 5
 
-    @pytest.mark.parametrize(("stagers", "least_s"), [(10, INTERVAL_S), (102, 102 / PROBES_PER_S)])
+    @pytest.mark.parametrize(
+        ("stagers", "least_s"), [(10, MIN_PROBE_INTERVAL_S), (102, 102 / MAX_PROBES_PER_S)]
+    )
     async def test_probes_its_link_less_often_in_a_larger_fleet(
         self, stagers, least_s, monkeypatch
     ):
@@ -37,11 +39,11 @@
             raise asyncio.CancelledError
 
         monkeypatch.setattr(asyncio, "sleep", record_sleep)
-        gauge = LinkGauge(
+        gauge = LinkMonitor(
             feed=SimpleNamespace(source=""),
             peers=SimpleNamespace(),
             vm="a",
-            stagers=lambda: stagers,
+            stager_count=lambda: stagers,
         )
         with pytest.raises(asyncio.CancelledError):
             await gauge._work()
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -34,7 +34,7 @@
     answer = ResponseHead(
         status=200, reason=b"OK", headers=Headers(items=fields), framing=Framing.LENGTH
     )
-    return PlatformEngine().read_report(answer, body)
+    return PlatformEngine().parse_report(answer, body)
 
 
 def head(method: str = "POST", target: str = "/a/b", **fields: str) -> RequestHead:
@@ -387,7 +387,7 @@
 
     def test_orders_are_written(self):
         order = LoadOrder(model="m", version=2, preempt=True, expected_sequence=3)
-        assert json.loads(PlatformEngine().write_order(order)) == {
+        assert json.loads(PlatformEngine().encode_order(order)) == {
             "op": "start",
             "model": "m",
             "version": 2,
--- a/tests/staging/swarm.py
+++ b/tests/staging/swarm.py
@@ -18,11 +18,11 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.staging.origin_source import OriginSource
+from leadhollow.staging.piece_assignment import Stager
 from leadhollow.staging.piece_fetch import PieceFetch
 from leadhollow.staging.piece_server import PieceServer
+from leadhollow.staging.piece_window import PieceWindow
 from leadhollow.staging.pieces import PieceStore, StagedVersion
-from leadhollow.staging.sharing import Stager
-from leadhollow.staging.window import PieceWindow
 from leadhollow.weights.named_versions import NamedVersion, PieceManifest
 from leadhollow.wire.handlers import HandlerTable
 from tests.config_path.virtual_loop import VirtualLoop
@@ -271,7 +271,7 @@
             link_bytes_per_s=lambda: STAGER_BYTES_PER_S * share(),
             failure_domain=stager.failure_domain,
         )
-        opened = self.store.open(swarm.version)
+        opened = self.store.find_or_create(swarm.version)
         assert opened is not None
         self.staged: StagedVersion = opened
         self.fetch = PieceFetch(
--- a/tests/staging/test_load_reports.py
+++ b/tests/staging/test_engine_monitor.py
@@ -9,7 +9,7 @@
 from leadhollow.membership.instance_table import InstanceTable
 from leadhollow.membership.instances import Instance, InstanceState
 from leadhollow.staging.engine_dialect import EngineReport
-from leadhollow.staging.load_reports import EngineWatch
+from leadhollow.staging.engine_monitor import EngineMonitor
 from leadhollow.wire.generated.ttypes import LoadReport, ServerWords
 
 ADDRESS = "10.0.0.1:80"
@@ -20,7 +20,7 @@
         self.leaving = False
         self.rests_forgotten = 0
 
-    def forget_rest(self) -> None:
+    def clear_backoff(self) -> None:
         self.rests_forgotten += 1
 
     async def report(self):
@@ -61,13 +61,13 @@
 class Bench:
     def __init__(self) -> None:
         self.engine, self.peers, self.feed = Engine(), Peers(), Feed()
-        self.watch = EngineWatch(
+        self.watch = EngineMonitor(
             address=ADDRESS,
             engine=self.engine,
             feed=self.feed,
             peers=self.peers,
             path_delay_s=lambda: 0.0,
-            interval_s=lambda: 1.0,
+            report_interval_s=lambda: 1.0,
         )
 
     def announce(self, born_ms: int) -> None:
@@ -88,7 +88,7 @@
     async def told(self) -> list[type]:
         self.peers.sent.clear()
         await self.watch.refresh()
-        await self.watch.tell()
+        await self.watch.publish()
         return [type(body) for body in self.peers.sent]
 
 
--- a/tests/staging/test_installer.py
+++ b/tests/staging/test_installer.py
@@ -11,9 +11,9 @@
 from leadhollow.membership.instances import ServedVersion
 from leadhollow.membership.naming_times import NamingTimes
 from leadhollow.staging.engine_dialect import EngineReport, LoadOrder
-from leadhollow.staging.installer import FINISH_S, NOTICE_S, Installer
+from leadhollow.staging.installer import DRAIN_TIMEOUT_S, SWITCH_NOTICE_S, Installer
+from leadhollow.staging.piece_window import PieceWindow
 from leadhollow.staging.pieces import PieceStore, StagedVersion
-from leadhollow.staging.window import PieceWindow
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.records import CatalogItem
 from leadhollow.weights.named_versions import NamedVersion, weights_key
@@ -50,13 +50,13 @@
             leaving=self.leaving,
         )
 
-    async def held(self, model):
+    async def list_staged(self, model):
         return Ok(list(self.stage))
 
     async def get(self, model, index):
         return Ok(self.stage.get(index, b""))
 
-    async def put(self, model, index, data):
+    async def stage_piece(self, model, index, data):
         self.puts.append(index)
         self.stage[index] = b"bad" if index in self.spoilt else data
         self.spoilt.discard(index)
@@ -92,7 +92,7 @@
     async def refresh(self) -> EngineReport:
         return self.report
 
-    async def tell(self) -> None:
+    async def publish(self) -> None:
         if self.switching:
             self.told_switching_s.append(asyncio.get_running_loop().time())
 
@@ -105,7 +105,7 @@
 
     async def run(self) -> None:
         for index, piece in enumerate(PIECES):
-            self.version.take(index, piece)
+            self.version.add(index, piece)
 
     def blocked(self) -> bool:
         return False
@@ -153,14 +153,14 @@
         self.installer = Installer(
             catalog=self.catalog,
             engine=self.engine,
-            watch=self.watch,
+            monitor=self.watch,
             store=PieceStore(),
             models=lambda: ["m"],
             start_fetch=self._start_fetch,
             first_start=False,
-            times=self.times,
+            naming_times=self.times,
             version_s=version_s,
-            turn=lambda staged, announced, left_s: True,
+            may_switch=lambda staged, announced, left_s: True,
             piece_s=lambda staged: 0.01,
             window=PieceWindow(link_share=lambda: 1.0),
         )
@@ -210,7 +210,7 @@
             bench = Bench(served=holding(1), staged=True)
             bench.engine.busy_until_s = float("inf")
             bench.name(2)
-            assert await bench.until_ordered() < NOTICE_S + FINISH_S + 1.0
+            assert await bench.until_ordered() < SWITCH_NOTICE_S + DRAIN_TIMEOUT_S + 1.0
 
         in_loop(work)
 
@@ -220,7 +220,7 @@
         async def work() -> None:
             bench = Bench(staged=True)
             bench.name(1)
-            assert await bench.until_ordered() < NOTICE_S
+            assert await bench.until_ordered() < SWITCH_NOTICE_S
 
         in_loop(work)
 
@@ -229,7 +229,7 @@
             bench = Bench(served=holding(1))
             bench.name(2)
             await bench.until_ordered()
-            assert bench.engine.ordered_s - bench.watch.told_switching_s[0] >= NOTICE_S
+            assert bench.engine.ordered_s - bench.watch.told_switching_s[0] >= SWITCH_NOTICE_S
 
         in_loop(work)
 
--- a/tests/staging/test_sharing_at_size.py
+++ b/tests/staging/test_large_fleet.py
@@ -6,8 +6,12 @@
 
 import pytest
 
-from leadhollow.staging.news import NEWS_PAUSE_S, NEWS_PER_S, news_pause_s
-from leadhollow.staging.sharing import SUCCESSORS, Sharing, Stager
+from leadhollow.staging.announcements import (
+    MAX_ANNOUNCEMENTS_PER_S,
+    MIN_ANNOUNCE_INTERVAL_S,
+    announce_interval_s,
+)
+from leadhollow.staging.piece_assignment import SUCCESSOR_COUNT, PieceAssignment, Stager
 from tests.staging.swarm import play
 
 VERSION_PIECES = 96
@@ -26,39 +30,39 @@
     ]
 
 
-def followed(sharing: Sharing, own: Stager, *, places: int = 1) -> set[str]:
-    return sharing.followed(own, pieces=VERSION_PIECES, places=places)
+def followed(sharing: PieceAssignment, own: Stager, *, places: int = 1) -> set[str]:
+    return sharing.stagers_to_follow(own, piece_count=VERSION_PIECES, max_rank=places)
 
 
 class TestFollowed:
     @pytest.mark.parametrize("count", SIZES)
     def test_are_few_outside_the_own_domain_however_many_there_are(self, count):
         everybody = stagers(count)
-        sharing = Sharing(number=3, stagers=everybody)
+        sharing = PieceAssignment(number=3, stagers=everybody)
         most = max(len(followed(sharing, own)) for own in everybody)
         assert most <= (MOST_FOLLOWED_OUTSIDE if count >= 100 else count)
 
     @pytest.mark.parametrize("count", SIZES)
     def test_hold_what_one_is_to_bring_in(self, count):
         everybody = stagers(count)
-        sharing = Sharing(number=3, stagers=everybody)
+        sharing = PieceAssignment(number=3, stagers=everybody)
         for own in everybody:
             known = followed(sharing, own)
             for index in range(VERSION_PIECES):
                 reader = sharing.origin_reader(index)
                 if reader.failure_domain != own.failure_domain:
-                    assert sharing.importer_place(index, own) > 1 or reader.address in known
+                    assert sharing.importer_rank(index, own) > 1 or reader.address in known
 
     def test_grow_with_the_places_that_have_had_their_turn(self):
         everybody = stagers(102)
-        sharing = Sharing(number=3, stagers=everybody)
+        sharing = PieceAssignment(number=3, stagers=everybody)
         sizes = [len(followed(sharing, everybody[0], places=places)) for places in (1, 4, 20)]
         assert sizes == sorted(sizes)
         assert sizes[-1] > sizes[0]
 
     def test_in_a_small_fleet_are_all(self):
         everybody = stagers(10)
-        sharing = Sharing(number=3, stagers=everybody)
+        sharing = PieceAssignment(number=3, stagers=everybody)
         own = everybody[0]
         outside = {one.address for one in everybody if one.failure_domain != own.failure_domain}
         assert followed(sharing, own) == outside
@@ -68,9 +72,9 @@
     @pytest.mark.parametrize("count", SIZES)
     def test_is_followed_by_all_who_read_its_pieces(self, count):
         everybody = stagers(count)
-        whole = Sharing(number=3, stagers=everybody)
+        whole = PieceAssignment(number=3, stagers=everybody)
         for lost in everybody[:20]:
-            without = Sharing(number=3, stagers=everybody, lost={lost.address})
+            without = PieceAssignment(number=3, stagers=everybody, unreachable={lost.address})
             for index in range(VERSION_PIECES):
                 if whole.origin_reader(index) != lost:
                     assert without.origin_reader(index) == whole.origin_reader(index)
@@ -82,21 +86,21 @@
 
     def test_leaves_its_pieces_to_several_in_a_small_fleet(self):
         everybody = stagers(6)
-        sharing = Sharing(number=3, stagers=everybody, lost={everybody[0].address})
+        sharing = PieceAssignment(number=3, stagers=everybody, unreachable={everybody[0].address})
         reads = Counter(sharing.origin_reader(index).address for index in range(VERSION_PIECES))
         assert everybody[0].address not in reads
-        assert max(reads.values()) <= VERSION_PIECES / 6 * (1 + 1 / SUCCESSORS) + 1
+        assert max(reads.values()) <= VERSION_PIECES / 6 * (1 + 1 / SUCCESSOR_COUNT) + 1
 
     @pytest.mark.parametrize("count", [6, 31, 102])
     def test_leaves_one_place_to_each_of_the_others(self, count):
         everybody = stagers(count)
         lost = {stager.address for stager in everybody[::5]}
         rest = [stager for stager in everybody if stager.address not in lost]
-        sharing = Sharing(number=3, stagers=everybody, lost=lost)
+        sharing = PieceAssignment(number=3, stagers=everybody, unreachable=lost)
         for index in range(VERSION_PIECES):
-            places = [sharing.reader_place(index, stager) for stager in rest]
+            places = [sharing.reader_rank(index, stager) for stager in rest]
             assert sorted(places) == list(range(len(rest)))
-            assert sharing.reader_place(index, sharing.origin_reader(index)) == 0
+            assert sharing.reader_rank(index, sharing.origin_reader(index)) == 0
 
 
 class TestAWholeFleet:
@@ -119,8 +123,8 @@
 
 class TestNews:
     def test_in_a_small_fleet_are_told_at_once(self):
-        assert news_pause_s(9) == NEWS_PAUSE_S
+        assert announce_interval_s(9) == MIN_ANNOUNCE_INTERVAL_S
 
     @pytest.mark.parametrize("watchers", [16, 44, 101, 300])
     def test_cost_a_stager_no_more_the_more_follow_it(self, watchers):
-        assert watchers / news_pause_s(watchers) <= NEWS_PER_S
+        assert watchers / announce_interval_s(watchers) <= MAX_ANNOUNCEMENTS_PER_S
--- a/tests/staging/test_many_readers.py
+++ b/tests/staging/test_origin_load.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from leadhollow.staging.choice import Origin, SourceChoice
-from leadhollow.staging.patience import TaskPatience
+from leadhollow.staging.piece_assignment import Stager
 from leadhollow.staging.piece_source import PieceSource
-from leadhollow.staging.sharing import Stager
+from leadhollow.staging.source_selector import Origin, SourceSelector
+from leadhollow.staging.takeover_delays import TakeoverDelays
 
 PIECES = 96
 PIECE_BYTES = 24_576
@@ -32,13 +32,13 @@
     """
 
     def __init__(self, *, silent: frozenset[str] = frozenset()) -> None:
-        patience = TaskPatience(
+        patience = TakeoverDelays(
             piece_bytes=PIECE_BYTES,
             origin_bytes_per_s=lambda: ORIGIN_BYTES_PER_S,
             link_bytes_per_s=lambda: LINK_BYTES_PER_S,
         )
         self.choices = {
-            own.address: SourceChoice(own=own, number=3, seed=1, patience=patience)
+            own.address: SourceSelector(own=own, number=3, seed=1, delays=patience)
             for own in STAGERS
         }
         self.silent = silent
@@ -68,7 +68,7 @@
                 continue
             del self.reading[address]
             self.read_s.setdefault(index, now_s)
-            self.choices[address].origin_answered(now_s)
+            self.choices[address].record_origin_success(now_s)
 
     def _look(self, own: Stager, known: list[int], now_s: float, *, away: bool) -> None:
         if own.address in self.reading:
@@ -78,15 +78,15 @@
             if now_s < self.failing[own.address]:
                 return
             del self.failing[own.address]
-            choice.origin_failed(now_s)
+            choice.record_origin_failure(now_s)
         holder = PieceSource(stager=next(other for other in STAGERS if other != own), count=PIECES)
-        holder.connected = holder.tried = True
+        holder.connected = holder.contacted = True
         holder.held.add_all(known)
         others = [other for other in STAGERS if other not in (own, holder.stager)]
-        choice.look([holder], number=3, now_s=now_s, others=others)
+        choice.update([holder], number=3, now_s=now_s, unfollowed=others)
         missing = [index for index in range(PIECES) if index not in known]
-        for index in choice.in_order(missing, now_s):
-            if index in self.read_s or choice.source(index, now_s) is not Origin.ORIGIN:
+        for index in choice.prioritise(missing, now_s):
+            if index in self.read_s or choice.choose(index, now_s) is not Origin.ORIGIN:
                 continue
             if away:
                 self.failing[own.address] = now_s + AWAY_FOR_S
--- a/tests/staging/test_exchange.py
+++ b/tests/staging/test_piece_exchange.py
@@ -9,11 +9,11 @@
 from leadhollow.codes import Code
 from leadhollow.settings.address import Address
 from leadhollow.settings.deployment import Listener, LoopbackAddresses
-from leadhollow.staging.piece_fetch import OVERDUE_S, SLICE_BYTES, PieceFetch
+from leadhollow.staging.piece_assignment import Stager
+from leadhollow.staging.piece_fetch import SLICE_BYTES, SLOW_PIECE_S, PieceFetch
 from leadhollow.staging.piece_server import PieceServer
+from leadhollow.staging.piece_window import PieceWindow
 from leadhollow.staging.pieces import PieceStore, StagedVersion
-from leadhollow.staging.sharing import Stager
-from leadhollow.staging.window import PieceWindow
 from leadhollow.weights.named_versions import NamedVersion, PieceManifest
 from leadhollow.wire.generated.ttypes import SliceRequest
 from leadhollow.wire.handlers import HandlerTable
@@ -89,13 +89,13 @@
         )
 
     def staged(self) -> StagedVersion:
-        version = self.store.open(VERSION)
+        version = self.store.find_or_create(VERSION)
         assert version is not None
         return version
 
     def hold(self, *indexes: int) -> None:
         for index in indexes:
-            assert self.staged().take(index, PIECES[index])
+            assert self.staged().add(index, PIECES[index])
 
     def fetch(
         self, *others: Node, link_share: float = 1.0, origin_bytes_per_s: float = 1e8
@@ -166,7 +166,7 @@
             began_s = asyncio.get_running_loop().time()
             await empty.fetch(slow).run()
             assert empty.staged().piece(7) == PIECES[7]
-            assert asyncio.get_running_loop().time() - began_s < OVERDUE_S + 1.5
+            assert asyncio.get_running_loop().time() - began_s < SLOW_PIECE_S + 1.5
             assert empty.origin.asked == [7]
 
         with_nodes(work, count=2)
--- a/tests/staging/test_parts.py
+++ b/tests/staging/test_staging_units.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from leadhollow.staging.link_gauge import LEAST, LinkGauge
+from leadhollow.staging.link_monitor import MIN_SHARE, LinkMonitor
+from leadhollow.staging.piece_assignment import PieceAssignment, Stager
 from leadhollow.staging.pieces import PieceStore
-from leadhollow.staging.sharing import Sharing, Stager
-from leadhollow.staging.turns import EngineStanding, may_switch, turn_of
+from leadhollow.staging.switch_order import SwitchState, may_switch, switch_rank
 from leadhollow.weights.named_versions import NamedVersion, PieceManifest
 
 PIECES = [bytes([number]) * 64 for number in range(12)]
@@ -36,8 +36,8 @@
     def test_all_agree_on_one_reader_and_one_importer_a_domain(self, domains, number):
         found = stagers(*domains)
         views = [
-            Sharing(number=number, stagers=found),
-            Sharing(number=number, stagers=list(reversed(found))),
+            PieceAssignment(number=number, stagers=found),
+            PieceAssignment(number=number, stagers=list(reversed(found))),
         ]
         for index in range(96):
             readers = {view.origin_reader(index) for view in views}
@@ -48,23 +48,23 @@
                 assert importers.pop().failure_domain == domain
 
     def test_the_reader_brings_its_own_pieces_in(self):
-        sharing = Sharing(number=2, stagers=stagers(*"aabbcc"))
+        sharing = PieceAssignment(number=2, stagers=stagers(*"aabbcc"))
         for index in range(96):
             reader = sharing.origin_reader(index)
             assert sharing.importer(index, reader.failure_domain) == reader
 
     def test_tasks_are_dealt_out_evenly(self):
-        sharing = Sharing(number=2, stagers=stagers(*"aaaabbbccc"))
+        sharing = PieceAssignment(number=2, stagers=stagers(*"aaaabbbccc"))
         reads = Counter(sharing.origin_reader(index).address for index in range(96))
         assert max(reads.values()) - min(reads.values()) <= 1
         imports = Counter(sharing.importer(index, "b").address for index in range(96))
         assert max(imports.values()) - min(imports.values()) <= 4
 
 
-def standings(states: str) -> list[EngineStanding]:
+def standings(states: str) -> list[SwitchState]:
     """Make engines by letter: done, switching, complete, or not complete (-)."""
     return [
-        EngineStanding(
+        SwitchState(
             address=f"10.0.0.{number}:80",
             failure_domain="a",
             complete=state != "-",
@@ -109,64 +109,68 @@
             for standing in found
             if may_switch(standing.address, 2, found, announced=True)
         ]
-        in_order = sorted((one.address for one in found), key=lambda one: turn_of(one, 2))
+        in_order = sorted((one.address for one in found), key=lambda one: switch_rank(one, 2))
         assert sorted(going) == sorted(in_order[:5])
 
     def test_every_listener_of_a_vm_has_the_same_place(self):
-        assert turn_of("10.0.0.1:80", 3) == turn_of("10.0.0.1:7000", 3)
+        assert switch_rank("10.0.0.1:80", 3) == switch_rank("10.0.0.1:7000", 3)
 
 
 class TestPieces:
     def test_are_taken_only_with_their_digest(self):
         store = PieceStore()
-        version = store.open(NamedVersion(model="m", number=1, named=True, manifest=manifest()))
-        assert not version.take(0, PIECES[1])
-        assert not version.take(0, PIECES[0][:-1])
-        assert not version.take(99, PIECES[0])
-        assert version.take(0, PIECES[0])
+        version = store.find_or_create(
+            NamedVersion(model="m", number=1, named=True, manifest=manifest())
+        )
+        assert not version.add(0, PIECES[1])
+        assert not version.add(0, PIECES[0][:-1])
+        assert not version.add(99, PIECES[0])
+        assert version.add(0, PIECES[0])
         assert version.piece(0) == PIECES[0]
         assert not version.complete
 
     def test_of_a_version_that_is_not_described_cannot_be_taken(self):
-        assert PieceStore().open(NamedVersion(model="m", number=1, named=True)) is None
+        assert PieceStore().find_or_create(NamedVersion(model="m", number=1, named=True)) is None
 
     def test_of_old_versions_are_forgotten(self):
         store = PieceStore()
         for number in (1, 2, 3):
-            store.open(NamedVersion(model="m", number=number, named=True, manifest=manifest()))
+            store.find_or_create(
+                NamedVersion(model="m", number=number, named=True, manifest=manifest())
+            )
         assert [version.number for version in store.versions("m")] == [3, 2]
 
 
 class TestLinkGauge:
     @pytest.mark.parametrize("lost", [False, True])
     def test_slows_down_on_late_probes_and_those_lost_after_them(self, lost):
-        gauge = LinkGauge(feed=None, peers=None, vm="v")
-        gauge.note(0.5, lost=False)
+        gauge = LinkMonitor(feed=None, peers=None, vm="v")
+        gauge.record_probe(0.5, lost=False)
         for _ in range(20):
-            gauge.note(0.5, lost=lost)
-        assert gauge.share == LEAST
+            gauge.record_probe(0.5, lost=lost)
+        assert gauge.share == MIN_SHARE
 
     def test_a_control_replica_that_is_gone_says_nothing_of_the_link(self):
-        gauge = LinkGauge(feed=None, peers=None, vm="v")
-        gauge.note(0.01, lost=False)
+        gauge = LinkMonitor(feed=None, peers=None, vm="v")
+        gauge.record_probe(0.01, lost=False)
         for _ in range(20):
-            gauge.note(1.0, lost=True)
+            gauge.record_probe(1.0, lost=True)
         assert gauge.share == 1.0
 
     def test_comes_back_slowly(self):
-        gauge = LinkGauge(feed=None, peers=None, vm="v")
-        gauge.note(0.5, lost=False)
+        gauge = LinkMonitor(feed=None, peers=None, vm="v")
+        gauge.record_probe(0.5, lost=False)
         slowed = gauge.share
-        gauge.note(0.01, lost=False)
+        gauge.record_probe(0.01, lost=False)
         assert slowed < gauge.share < 1.0
         for _ in range(40):
-            gauge.note(0.01, lost=False)
+            gauge.record_probe(0.01, lost=False)
         assert gauge.share == 1.0
 
     def test_a_probe_on_its_way_tells_of_the_delay_before_it_arrives(self):
         async def run() -> tuple[float, float]:
             feed, peers = FollowedFeed(), SlowPeers()
-            gauge = LinkGauge(feed=feed, peers=peers, vm="v")
+            gauge = LinkMonitor(feed=feed, peers=peers, vm="v")
             await gauge.start()
             await asyncio.wait_for(peers.asked.wait(), 2)
             await asyncio.sleep(0.05)
--- a/tests/staging/test_held_up.py
+++ b/tests/staging/test_stalled_event_loop.py
@@ -7,7 +7,7 @@
 
 from leadhollow.kernel import active_time
 from leadhollow.settings.deployment import Listener, LoopbackAddresses
-from leadhollow.staging.link_gauge import SLOW_S, LinkGauge
+from leadhollow.staging.link_monitor import SLOW_PROBE_S, LinkMonitor
 from leadhollow.staging.piece_source import PieceSource
 from tests.other_loop import OtherLoop, hold_up
 from tests.staging.test_exchange import PIECE_BYTES, PIECES, Node
@@ -52,11 +52,11 @@
     # Guards against: a link counts as slow, and carries less, since we were held up.
     async def test_takes_its_link_for_no_slower(self):
         peers = SlowPeers()
-        gauge = LinkGauge(feed=FollowedFeed(), peers=peers, vm="v")
+        gauge = LinkMonitor(feed=FollowedFeed(), peers=peers, vm="v")
         active_time.clock()
         await gauge.start()
         await asyncio.wait_for(peers.asked.wait(), 2)
-        time.sleep(SLOW_S + 1.0)
+        time.sleep(SLOW_PROBE_S + 1.0)
         delay_s = gauge.delay_s()
         await gauge.stop()
-        assert delay_s < SLOW_S
+        assert delay_s < SLOW_PROBE_S
--- a/tests/staging/test_change_of_weights.py
+++ b/tests/staging/test_switch_order.py
@@ -6,7 +6,13 @@
 
 import pytest
 
-from leadhollow.staging.turns import CHANGE_S, EngineStanding, may_switch, part_size, turn_of
+from leadhollow.staging.switch_order import (
+    SWITCH_DURATION_S,
+    SwitchState,
+    batch_size,
+    may_switch,
+    switch_rank,
+)
 
 ENGINES = 39
 DOMAINS = 3
@@ -46,7 +52,7 @@
             of_domains = Counter(place % DOMAINS for place in away)
             self.most_away_of_a_domain = max(self.most_away_of_a_domain, *of_domains.values(), 0)
 
-    def _decide(self, place: int, told: list[EngineStanding], now_s: float) -> None:
+    def _decide(self, place: int, told: list[SwitchState], now_s: float) -> None:
         announced_s = self.announced_s.get(place)
         if place in self.began_s or (announced_s is not None and now_s < announced_s + NOTICE_S):
             return
@@ -64,8 +70,8 @@
         elif announced_s is not None:
             del self.announced_s[place]
 
-    def _own(self, place: int) -> EngineStanding:
-        return EngineStanding(
+    def _own(self, place: int) -> SwitchState:
+        return SwitchState(
             address=self.addresses[place],
             failure_domain=str(place % DOMAINS),
             complete=True,
@@ -76,11 +82,11 @@
     def _back(self, place: int, now_s: float) -> bool:
         return now_s >= self.began_s[place] + AWAY_S
 
-    def _standing(self, place: int, now_s: float) -> EngineStanding:
+    def _standing(self, place: int, now_s: float) -> SwitchState:
         complete_s = self.complete_s[place]
         announced_s = self.announced_s.get(place)
         done = place in self.began_s and self._back(place, now_s)
-        return EngineStanding(
+        return SwitchState(
             address=self.addresses[place],
             failure_domain=str(place % DOMAINS),
             complete=complete_s is not None and complete_s <= now_s,
@@ -92,7 +98,7 @@
 class TestAChangeInParts:
     @pytest.mark.parametrize("parts", [3, 4, 5])
     def test_takes_few_away_where_there_is_time(self, parts):
-        fleet = Fleet([0.0] * ENGINES, bound_s=NOTICE_S + parts * CHANGE_S + STEP_S)
+        fleet = Fleet([0.0] * ENGINES, bound_s=NOTICE_S + parts * SWITCH_DURATION_S + STEP_S)
         fleet.run()
         assert len(fleet.began_s) == ENGINES
         assert fleet.most_away <= 1.5 * ENGINES / parts  # parts overlap, as news takes its time
@@ -124,26 +130,26 @@
 
 class TestPartSize:
     def test_is_half_where_nobody_knows_how_much_time_there_is(self):
-        assert part_size(10, 0, 0.0) == 5
-        assert part_size(10, 5, 0.0) == 5
-        assert part_size(10, 7, -3.0) == 7
+        assert batch_size(10, 0, 0.0) == 5
+        assert batch_size(10, 5, 0.0) == 5
+        assert batch_size(10, 7, -3.0) == 7
 
     def test_is_one_by_one_where_there_is_no_bound(self):
-        assert part_size(10, 0, float("inf")) == 1
+        assert batch_size(10, 0, float("inf")) == 1
 
     def test_grows_as_time_goes(self):
-        sizes = [part_size(39, 0, CHANGE_S * parts) for parts in (8, 5, 3, 2, 1)]
+        sizes = [batch_size(39, 0, SWITCH_DURATION_S * parts) for parts in (8, 5, 3, 2, 1)]
         assert sizes == sorted(sizes)
         assert sizes[-1] == ENGINES // 2
 
     def test_is_never_none(self):
-        assert part_size(1, 0, 100.0) == part_size(2, 1, 100.0) == 1
+        assert batch_size(1, 0, 100.0) == batch_size(2, 1, 100.0) == 1
 
 
 class TestOrder:
     def test_goes_round_the_failure_domains(self):
         standings = [
-            EngineStanding(
+            SwitchState(
                 address=f"10.0.0.{place}:80",
                 failure_domain=str(place // 13),
                 complete=True,
@@ -155,10 +161,12 @@
         going = [
             found.failure_domain
             for found in standings
-            if may_switch(found.address, 2, standings, announced=False, left_s=8 * CHANGE_S)
+            if may_switch(
+                found.address, 2, standings, announced=False, left_s=8 * SWITCH_DURATION_S
+            )
         ]
         assert set(Counter(going).values()) <= {len(going) // 3, len(going) // 3 + 1}
 
     def test_depends_on_the_version(self):
-        order = [sorted(range(9), key=lambda n: turn_of(f"10.0.0.{n}:80", v)) for v in (2, 3)]
+        order = [sorted(range(9), key=lambda n: switch_rank(f"10.0.0.{n}:80", v)) for v in (2, 3)]
         assert order[0] != order[1]
