--- a/src/leadhollow/forward/plain_forwarder.py
+++ b/src/leadhollow/forward/plain_forwarder.py
@@ -151,7 +151,7 @@
             for server in self._directory.servers(call.service)
             if server.instance.instance not in excluded
         ]
-        left_s = [backoff.left_s() for backoff in backoffs if backoff is not None]
+        left_s = [backoff.remaining_s() for backoff in backoffs if backoff is not None]
         return min(left_s, default=None) if len(left_s) == len(backoffs) else None
 
     def _no_server_failure(self, call: ForwardedCall, failure: Failure) -> Failure:
@@ -226,10 +226,10 @@
 
     def _cost(self, server: Server, now_s: float, *, peers_known: bool) -> float:
         far = server.instance.failure_domain != self._failure_domain
-        running = server.own_requests + server.peer_requests(now_s, told=peers_known)
+        running = server.own_requests + server.peer_requests(now_s, peer_use_known=peers_known)
         load = running / max(1, server.instance.slots)
         penalty = FAR_PENALTY if far else 0.0
-        if server.backoff is not None and server.backoff.shunned:
+        if server.backoff is not None and server.backoff.deprioritised:
             penalty += PEER_BACKOFF_PENALTY
         return load + penalty + self._random.uniform(0, 0.2)
 
--- a/src/leadhollow/staging/__init__.py
+++ b/src/leadhollow/staging/__init__.py
@@ -1,1 +1,1 @@
-"""Beside an engine: brings weights to its stage, orders it to load them, reports its load."""
+"""The stager process beside an engine: fetches model weights, orders loads, reports load."""
--- a/src/leadhollow/staging/announcements.py
+++ b/src/leadhollow/staging/announcements.py
@@ -1,16 +1,17 @@
-"""How often a stager tells of the pieces that have come to it."""
+"""The interval at which a stager announces the pieces that it has received."""
 
 from __future__ import annotations
 
-MIN_ANNOUNCE_INTERVAL_S = 0.04  # pieces that come within it are told together
+MIN_ANNOUNCE_INTERVAL_S = 0.04  # pieces received within it are announced together
 MAX_ANNOUNCEMENTS_PER_S = 400.0
-"""News to all that follow a stager, together. Forty are told ten times a second, so that what a
-piece costs grows no further with those that follow; it takes 0.4 s to arrive anyway."""
+"""Announcements of one stager to all its followers together. With 40 followers each gets ten a
+second. This bounds the cost of a piece for any number of followers; the transfer of a piece takes
+0.4 s anyway."""
 
 
 def announce_interval_s(followers: int) -> float:
-    """Give how long pieces are gathered before those that follow are told."""
+    """Return how long received pieces are collected before the next announcement."""
     return max(MIN_ANNOUNCE_INTERVAL_S, followers / MAX_ANNOUNCEMENTS_PER_S)
 
 
-__all__ = ["NEWS_PAUSE_S", "NEWS_PER_S", "news_pause_s"]
+__all__ = ["MAX_ANNOUNCEMENTS_PER_S", "MIN_ANNOUNCE_INTERVAL_S", "announce_interval_s"]
--- a/src/leadhollow/staging/engine_client.py
+++ b/src/leadhollow/staging/engine_client.py
@@ -1,4 +1,4 @@
-"""Speaks to the engine on the same VM."""
+"""HTTP client of the engine on the same VM."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 REPORT_TIMEOUT_S = 0.5
 STAGE_TIMEOUT_S = 2.0
 ORDER_TIMEOUT_S = 1.0
-ACCEPTED = (200, 202)
+ACCEPTED_STATUSES = (200, 202)
 
 log = get_logger("engine")
 
@@ -30,46 +30,44 @@
         self._http = HttpCaller(connect_timeout_s=REPORT_TIMEOUT_S)
 
     async def report(self) -> Result[EngineReport, Failure]:
-        """Ask for the engine's state."""
-        answered = await self._fetch("GET", self._dialect.report_target(), REPORT_TIMEOUT_S)
-        if answered.is_err():
-            return Err(answered.unwrap_err())
-        answer = answered.unwrap()
-        return self._dialect.parse_report(answer.head, answer.body)
+        """Request the engine's report."""
+        result = await self._fetch("GET", self._dialect.report_target(), REPORT_TIMEOUT_S)
+        if result.is_err():
+            return Err(result.unwrap_err())
+        response = result.unwrap()
+        return self._dialect.parse_report(response.head, response.body)
 
     async def stage_piece(self, model: str, index: int, data: bytes) -> Result[None, Failure]:
-        """Lay a piece into the stage."""
+        """Write a piece to the stage."""
         target = self._dialect.stage_piece_target(model, index)
-        answered = await self._fetch("PUT", target, STAGE_TIMEOUT_S, body=data)
-        return Ok(None) if answered.is_ok() else Err(answered.unwrap_err())
+        result = await self._fetch("PUT", target, STAGE_TIMEOUT_S, body=data)
+        return Ok(None) if result.is_ok() else Err(result.unwrap_err())
 
     async def read_staged_piece(self, model: str, index: int) -> Result[bytes, Failure]:
         """Read a staged piece back."""
         target = self._dialect.staged_piece_target(model, index)
-        answered = await self._fetch("GET", target, STAGE_TIMEOUT_S)
-        return Ok(answered.unwrap().body) if answered.is_ok() else Err(answered.unwrap_err())
+        result = await self._fetch("GET", target, STAGE_TIMEOUT_S)
+        return Ok(result.unwrap().body) if result.is_ok() else Err(result.unwrap_err())
 
     async def list_staged(self, model: str) -> Result[list[int], Failure]:
         """List the staged pieces."""
-        answered = await self._fetch(
-            "GET", self._dialect.staged_list_target(model), STAGE_TIMEOUT_S
-        )
-        if answered.is_err():
-            return Err(answered.unwrap_err())
-        return self._dialect.parse_staged_list(answered.unwrap().body)
+        result = await self._fetch("GET", self._dialect.staged_list_target(model), STAGE_TIMEOUT_S)
+        if result.is_err():
+            return Err(result.unwrap_err())
+        return self._dialect.parse_staged_list(result.unwrap().body)
 
     async def order_load(self, order: LoadOrder) -> Result[None, Failure]:
-        """Order the engine to load; an order without an answer may have been taken."""
-        answered = await self._fetch(
+        """Order the engine to load; it may have accepted an order that it did not acknowledge."""
+        result = await self._fetch(
             "POST",
             self._dialect.order_target(),
             ORDER_TIMEOUT_S,
             body=self._dialect.encode_order(order),
         )
-        return Ok(None) if answered.is_ok() else Err(answered.unwrap_err())
+        return Ok(None) if result.is_ok() else Err(result.unwrap_err())
 
     def clear_backoff(self) -> None:
-        """Note that another life of the engine has begun."""
+        """Clear the back-off of the engine after it restarted."""
         self._http.forget_rest(self._address)
 
     def close(self) -> None:
@@ -79,16 +77,16 @@
     async def _fetch(
         self, method: str, target: str, timeout_s: float, *, body: bytes = b""
     ) -> Result[HttpAnswer, Failure]:
-        answered = await self._http.fetch(
+        result = await self._http.fetch(
             method, self._address, target, timeout_s=timeout_s, body=body
         )
-        if answered.is_err():
-            return answered
-        answer = answered.unwrap()
-        if answer.status not in ACCEPTED:
-            detail = f"{method} {target}: status {answer.status}: {answer.body[:200]!r}"
+        if result.is_err():
+            return result
+        response = result.unwrap()
+        if response.status not in ACCEPTED_STATUSES:
+            detail = f"{method} {target}: status {response.status}: {response.body[:200]!r}"
             return Err(Failure(code=Code.LOAD_REFUSED, detail=detail))
-        return Ok(answer)
+        return Ok(response)
 
 
 __all__ = ["LocalEngine"]
--- a/src/leadhollow/staging/engine_dialect.py
+++ b/src/leadhollow/staging/engine_dialect.py
@@ -1,4 +1,4 @@
-"""What the product asks of an engine's interface."""
+"""The interface to an engine: its report, its stage and its load orders."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class EngineReport:
-    """State of an engine as it says itself.
+    """State of an engine as it reports it.
 
     Parameters
     ----------
     served
-        Weights that it holds.
+        Weight versions that it holds, with their layers.
     busy
-        Whether an order is in progress.
+        Whether a load order is in progress.
     sequence
-        Orders that it has begun since its start.
+        Number of load orders that it has begun since its start.
     active, queued
-        Requests that run and that wait.
+        Number of running and of waiting requests.
     memory_used_tokens, memory_tokens
-        Memory that cannot be given up, and all of it.
+        Memory in use that cannot be released, and all memory.
     pace
-        How much slower than declared it is; 1 is as declared.
+        Factor by which it is slower than declared; 1 means as declared.
     born_ms
-        When it started, by its own clock; 0 where it does not say.
+        When it started, by its own clock; 0 if it does not report it.
     leaving
-        Whether it says that it is about to end.
+        Whether it reports that it is about to end.
     """
 
     __slots__ = (
@@ -74,14 +74,14 @@
 
 
 class LoadOrder:
-    """Makes an engine load what lies in its stage.
+    """An order to an engine to load the staged weights.
 
     Parameters
     ----------
     preempt
-        Whether requests in progress are broken off instead of finished first.
+        Whether requests in progress are aborted; otherwise they finish first.
     expected_sequence
-        The order is refused where the engine has begun another number of orders.
+        The engine refuses the order if it has begun a different number of load orders.
     """
 
     __slots__ = ("expected_sequence", "model", "preempt", "version")
@@ -94,26 +94,26 @@
 
 
 class EngineDialect(Protocol):
-    """How an engine is spoken to by the process beside it."""
+    """Encodes requests to an engine and decodes its responses."""
 
     def report_target(self) -> str:
-        """Give the path of the report."""
+        """Return the path of the report."""
         ...
 
     def parse_report(self, head: ResponseHead, body: bytes) -> Result[EngineReport, Failure]:
-        """Decode a report and what its header fields say of the engine."""
+        """Decode a report and the header fields that describe the engine."""
         ...
 
     def stage_piece_target(self, model: str, index: int) -> str:
-        """Give path and query under which a piece is staged."""
+        """Return the path and query to stage a piece."""
         ...
 
     def staged_piece_target(self, model: str, index: int) -> str:
-        """Give path and query under which a staged piece is read back."""
+        """Return the path and query to read a staged piece back."""
         ...
 
     def staged_list_target(self, model: str) -> str:
-        """Give the path under which staged pieces are listed."""
+        """Return the path that lists the staged pieces."""
         ...
 
     def parse_staged_list(self, body: bytes) -> Result[list[int], Failure]:
@@ -121,11 +121,11 @@
         ...
 
     def order_target(self) -> str:
-        """Give the path of orders."""
+        """Return the path of load orders."""
         ...
 
     def encode_order(self, order: LoadOrder) -> bytes:
-        """Encode an order."""
+        """Encode a load order."""
         ...
 
 
--- a/src/leadhollow/staging/engine_monitor.py
+++ b/src/leadhollow/staging/engine_monitor.py
@@ -1,4 +1,4 @@
-"""Watches the engine on this VM and reports its load to the control replica that is followed."""
+"""Monitors the engine on this VM and reports its load to the control replica that is followed."""
 
 from __future__ import annotations
 
@@ -14,47 +14,49 @@
 from leadhollow.wire.generated.ttypes import LoadRecord, LoadReport, ServerWords
 from leadhollow.wire.peers import PeerPool
 
-INTERVAL_S = 0.1
-ASKS_PER_REPORT = 5
-"""How often the engine is asked between two reports of a load whose standing stays as it is. All
-that looks at it while its weights change asks for itself."""
+MIN_POLL_INTERVAL_S = 0.1
+POLLS_PER_REPORT = 5
+"""How often the engine is polled between two reports while its state stays the same. During a
+switch the code that needs the state polls the engine itself."""
 
-LOST_PAUSE_S = 0.2
+ENGINE_LOST_PAUSE_S = 0.2
 PACE_UNIT = 1000
-SLOW_PATH_S = 0.1  # a path that is slower than this is told with each report
+SLOW_PATH_S = 0.1  # crossing this path delay in either direction triggers a report at once
 
 log = get_logger("load")
 
 
 class EngineMonitor(TaskService):
-    """Newest report of the engine.
+    """Keeps the newest report of the engine and publishes its load.
 
     Parameters
     ----------
     path_delay_s
-        Gives how long small messages lately took to this VM and back.
-    interval_s
-        Gives the time after which a load is told again though its standing is the same.
+        Returns the recent round-trip time of small messages to this VM.
+    report_interval_s
+        Returns the time after which the load is reported again although the state is the same.
 
     Attributes
     ----------
     report
-        None while the engine does not answer.
+        Newest report, None while the engine does not answer.
+    staged_progress
+        Returns the newest completely staged version and its number of pieces.
     switching
-        Whether the engine is about to change its weights; entries then send nothing more.
+        Whether the engine is about to change its weights; entries then send no more requests.
     """
 
     __slots__ = (
         "_address",
         "_engine",
         "_feed",
-        "_interval_s",
         "_life",
         "_listeners",
         "_path_delay_s",
         "_peers",
-        "_sent",
-        "_sent_s",
+        "_published_s",
+        "_published_state",
+        "_report_interval_s",
         "report",
         "staged_progress",
         "switching",
@@ -75,10 +77,10 @@
         self._feed = feed
         self._peers = peers
         self._path_delay_s = path_delay_s
-        self._interval_s = report_interval_s
-        self._sent: tuple[object, ...] = ()
-        self._sent_s = 0.0
-        self._life = ""  # of the engine, as control last told
+        self._report_interval_s = report_interval_s
+        self._published_state: tuple[object, ...] = ()
+        self._published_s = 0.0
+        self._life = ""  # of the engine, as the control replica last listed it
         self._listeners: list[Callable[[], None]] = []
         self.report: EngineReport | None = None
         self.switching = False
@@ -86,35 +88,35 @@
         super().__init__()
 
     def on_report(self, listener: Callable[[], None]) -> None:
-        """Call a function after each report."""
+        """Register a function to be called after each poll of the engine."""
         self._listeners.append(listener)
 
     async def refresh(self) -> EngineReport | None:
-        """Ask the engine now."""
-        self._note_life()
-        asked = await self._engine.report()
-        if asked.is_err():
+        """Poll the engine now."""
+        self._check_life()
+        result = await self._engine.report()
+        if result.is_err():
             if self.report is not None:
-                log.warning("engine does not answer", failure=str(asked.unwrap_err()))
+                log.warning("engine does not answer", failure=str(result.unwrap_err()))
             self.report = None
         else:
             if self.report is None:
-                served = [found.key() for found in asked.unwrap().served]
+                served = [version.key() for version in result.unwrap().served]
                 log.info("engine answers", served=served)
-            self.report = asked.unwrap()
+            self.report = result.unwrap()
         for listener in self._listeners:
             listener()
         return self.report
 
-    def _note_life(self) -> None:
-        """Give an engine that has started anew no rest that its former life asked for."""
+    def _check_life(self) -> None:
+        """Clear the back-off after a restart: the engine asked for it in its previous life."""
         known = self._feed.table.at_address(self._address)
         if known is not None and known.life != self._life:
             self._life = known.life
             self._engine.clear_backoff()
 
-    def _leaving(self, report: EngineReport) -> ServerWords | None:
-        """Give the word that the engine leaves, where it says so and control knows its name."""
+    def _leaving_report(self, report: EngineReport) -> ServerWords | None:
+        """Return a report that the engine is leaving, if it says so and control lists this life."""
         known = self._feed.table.at_address(self._address)
         if not report.leaving or known is None or known.born_ms != report.born_ms:
             return None
@@ -145,43 +147,46 @@
             report.born_ms,
         )
         connected.unwrap().oneway(LoadReport([record]))
-        leaving = self._leaving(report)
+        leaving = self._leaving_report(report)
         if leaving is not None:
             connected.unwrap().oneway(leaving)
-        self._sent_s = asyncio.get_running_loop().time()
+        self._published_s = asyncio.get_running_loop().time()
 
     async def _work(self) -> None:
         while True:
             report = await self.refresh()
             if report is None:
-                await asyncio.sleep(LOST_PAUSE_S)
+                await asyncio.sleep(ENGINE_LOST_PAUSE_S)
                 continue
-            said = (
+            state = (
                 report.born_ms,
                 report.busy,
                 report.leaving,
                 self.switching,
                 self.staged_progress(),
-                tuple(found.key() for found in report.served),
+                tuple(version.key() for version in report.served),
                 round(report.pace, 1),
                 self._path_delay_s() > SLOW_PATH_S,
             )
             now_s = asyncio.get_running_loop().time()
-            if said != self._sent or now_s - self._sent_s > self._interval_s():
-                self._sent = said
+            if (
+                state != self._published_state
+                or now_s - self._published_s > self._report_interval_s()
+            ):
+                self._published_state = state
                 await self.publish()
-            await asyncio.sleep(poll_interval_s(self._interval_s()))
+            await asyncio.sleep(poll_interval_s(self._report_interval_s()))
 
 
 def poll_interval_s(report_interval_s: float) -> float:
-    """Give how long to wait before the engine is asked again.
+    """Return how long to wait before the engine is polled again.
 
     Parameters
     ----------
     report_interval_s
-        Between two reports; the more engines, the longer.
+        Time between two reports; it grows with the number of engines.
     """
-    return max(INTERVAL_S, report_interval_s / ASKS_PER_REPORT)
+    return max(MIN_POLL_INTERVAL_S, report_interval_s / POLLS_PER_REPORT)
 
 
-__all__ = ["EngineWatch", "ask_interval_s"]
+__all__ = ["EngineMonitor", "poll_interval_s"]
--- a/src/leadhollow/staging/engine_stage.py
+++ b/src/leadhollow/staging/engine_stage.py
@@ -1,4 +1,4 @@
-"""The stage of the engine on this VM: what lies there, and whether it is as it should be."""
+"""The stage of the engine on this VM: writes pieces to it and verifies them."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class EngineStage:
-    """Lays pieces beside the engine; the stage holds one version of a model."""
+    """Writes pieces to the engine's stage, which holds one version of a model."""
 
-    __slots__ = ("_engine", "_laid", "_laid_of")
+    __slots__ = ("_engine", "_staged_indexes", "_staged_version")
 
     def __init__(self, *, engine: LocalEngine) -> None:
         self._engine = engine
-        self._laid: set[int] = set()
-        self._laid_of: StagedVersion | None = None
+        self._staged_indexes: set[int] = set()
+        self._staged_version: StagedVersion | None = None
 
     async def recover(self, staged: StagedVersion) -> None:
-        """Take over what the stage held when this process began."""
+        """Read the pieces that were in the stage before this process started."""
         listed = await self._engine.list_staged(staged.model)
         if listed.is_err():
             return
@@ -29,9 +29,9 @@
                 continue
             read = await self._engine.read_staged_piece(staged.model, index)
             if read.is_ok() and staged.add(index, read.unwrap()):
-                self._note(staged, index)
+                self._mark_staged(staged, index)
         log.info(
-            "stage read",
+            "staged pieces recovered",
             model=staged.model,
             number=staged.number,
             listed=len(listed.unwrap()),
@@ -39,46 +39,46 @@
         )
 
     async def stage_pieces(self, staged: StagedVersion) -> None:
-        """Lay the pieces that have come and do not lie there yet."""
+        """Write the pieces that are held and not staged yet."""
         for index in list(staged.held.indexes()):
             piece = staged.piece(index)
-            if self._lies(staged, index) or piece is None:
+            if self._is_staged(staged, index) or piece is None:
                 continue
-            put = await self._engine.stage_piece(staged.model, index, piece)
-            if put.is_err():
-                log.warning("piece not staged", index=index, failure=str(put.unwrap_err()))
+            written = await self._engine.stage_piece(staged.model, index, piece)
+            if written.is_err():
+                log.warning("piece not staged", index=index, failure=str(written.unwrap_err()))
                 return
-            self._note(staged, index)
+            self._mark_staged(staged, index)
 
     async def verify(self, staged: StagedVersion) -> bool:
-        """Read every staged piece back, and lay those again that turned bad.
+        """Read every staged piece back, and write those again that are damaged.
 
         Returns
         -------
         bool
-            Whether all were as they should be.
+            Whether all pieces were undamaged.
         """
-        good = True
+        all_good = True
         for index in range(staged.held.count):
             piece = staged.piece(index)
             read = await self._engine.read_staged_piece(staged.model, index)
             if piece is None or (read.is_ok() and read.unwrap() == piece):
                 continue
-            good = False
+            all_good = False
             log.warning("staged piece is bad", index=index, absent=read.is_err())
-            put = await self._engine.stage_piece(staged.model, index, piece)
-            if put.is_err():
+            written = await self._engine.stage_piece(staged.model, index, piece)
+            if written.is_err():
                 return False
-        return good
+        return all_good
 
-    def _note(self, staged: StagedVersion, index: int) -> None:
-        if self._laid_of is not staged:
-            self._laid_of = staged
-            self._laid = set()
-        self._laid.add(index)
+    def _mark_staged(self, staged: StagedVersion, index: int) -> None:
+        if self._staged_version is not staged:
+            self._staged_version = staged
+            self._staged_indexes = set()
+        self._staged_indexes.add(index)
 
-    def _lies(self, staged: StagedVersion, index: int) -> bool:
-        return self._laid_of is staged and index in self._laid
+    def _is_staged(self, staged: StagedVersion, index: int) -> bool:
+        return self._staged_version is staged and index in self._staged_indexes
 
 
 __all__ = ["EngineStage"]
--- a/src/leadhollow/staging/fetch_manager.py
+++ b/src/leadhollow/staging/fetch_manager.py
@@ -1,4 +1,4 @@
-"""Versions that are on their way to this VM, each with the task that fetches it."""
+"""Starts and cancels the fetches of versions that this VM needs."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class FetchManager:
-    """What is fetched now.
+    """Runs one fetch task for each wanted version.
 
     Parameters
     ----------
     start_fetch
-        Makes the fetch of a version.
+        Creates the fetch of a version.
     """
 
     __slots__ = ("_running", "_start_fetch")
@@ -36,7 +36,11 @@
         self._running: dict[StagedVersion, _RunningFetch] = {}
 
     def fetch_only(self, wanted: Sequence[StagedVersion]) -> None:
-        """Fetch these versions and nothing else; of several the first leaves the link to others."""
+        """Fetch these versions and no others.
+
+        If there are several, the first one reads from the origin only and leaves the link to the
+        others.
+        """
         for version in list(self._running):
             if version not in wanted:
                 self._running.pop(version).task.cancel()
@@ -47,16 +51,16 @@
             running.fetch.origin_only = len(wanted) > 1 and version is wanted[0]
 
     def blocked(self, version: StagedVersion) -> bool:
-        """Tell whether a version is fetched and cannot be had now."""
+        """Return whether a version is being fetched and some of its pieces cannot be obtained."""
         running = self._running.get(version)
         return running is not None and running.fetch.blocked()
 
     def stop(self) -> None:
-        """Fetch nothing more."""
+        """Cancel all fetches."""
         self.fetch_only(())
 
     def _start(self, version: StagedVersion) -> _RunningFetch:
-        log.info("fetch begins", model=version.model, number=version.number)
+        log.info("fetch started", model=version.model, number=version.number)
         fetch = self._start_fetch(version)
         task = asyncio.get_running_loop().create_task(fetch.run())
         running = _RunningFetch(fetch=fetch, task=task)
@@ -64,4 +68,4 @@
         return running
 
 
-__all__ = ["RunningFetches"]
+__all__ = ["FetchManager"]
--- a/src/leadhollow/staging/installer.py
+++ b/src/leadhollow/staging/installer.py
@@ -1,4 +1,4 @@
-"""Brings the engine on this VM to the version that is wanted: fetch, stage, check, order."""
+"""Brings the engine on this VM to the wanted version: fetch, stage, verify, order the load."""
 
 from __future__ import annotations
 
@@ -27,66 +27,69 @@
 from leadhollow.state.weights_versions import versions_of
 from leadhollow.weights.named_versions import NamedVersion
 
-STEP_S = 0.05
-IDLE_STEP_S = 0.25
-"""Between two looks while the engine holds what is wanted and nothing is on its way; what is named
-or described is seen at once, an engine that starts again with nothing after as long."""
-
-SWITCH_NOTICE_S = 0.15  # entries hear of the switch before the order is given
-ORDER_AGAIN_S = 0.5
-FIRST_PATIENCE_S = 4.0  # an engine takes a second or two to answer after its start
-LATER_PATIENCE_S = 0.25  # one that runs answers at once, one that starts has an empty stage
-LAST_CALL_S = 0.6  # before the bound everybody changes, whatever the others do
+STEP_INTERVAL_S = 0.05
+IDLE_INTERVAL_S = 0.25
+"""Step interval while the engine holds the wanted version and nothing is being fetched. A version
+that is named or described starts a step at once; an empty engine after a restart is noticed within
+this interval."""
+
+SWITCH_NOTICE_S = 0.15  # entries learn of the switch before the order is sent
+ORDER_RETRY_S = 0.5
+FIRST_START_WAIT_S = 4.0  # an engine needs a second or two to answer after its start
+RESTART_WAIT_S = 0.25  # a running engine answers at once, a starting one has an empty stage
+FORCED_SWITCH_S = 0.6  # so long before the deadline all engines switch, whatever the others do
 DRAIN_TIMEOUT_S = 3.0
-"""Longest time that requests in progress get before an engine loads: what is broken off then has to
-go on at another engine, which may change too, and may have no attempt left."""
+"""Longest time that requests in progress get to finish before an engine loads. Aborted requests
+have to continue at another engine, which may switch too, and may have no attempt left."""
 
-LOAD_PATIENCE_S = 10.0  # requests in progress end first, then the weights load
+LOAD_TIMEOUT_S = 10.0  # requests in progress finish first, then the weights load
 
 log = get_logger("installer")
 
 
 class Installer(TaskService):
-    """The one giver of orders to the engine.
+    """The only component that sends load orders to the engine.
 
     Parameters
     ----------
     models
-        Gives the models that the engine may run.
+        Returns the models that the engine may run.
     start_fetch
-        Makes the fetch of a version.
-    times
+        Creates the fetch of a version.
+    first_start
+        Whether engine and process start together; the engine then holds the weights that it started
+        with.
+    naming_times
         When versions were named.
     version_s
         Time from the naming of a version until no request may begin on an older one.
-    turn
-        Tells whether it is our engine's turn to change, and whether it still is once the others
-        have been told that it changes, by the time that is left for all of them.
+    may_switch
+        Returns whether it is the turn of this stager's engine to switch. Arguments: the version;
+        whether the switch has been announced to the other stagers; the time left for all engines to
+        switch.
     piece_s
-        Gives the time in which this VM's link carries one piece of a version.
+        Returns the time in which this VM's link carries one piece of a version.
     window
-        Is told whether the version would come too late at the usual pace.
-    first_start
-        Whether engine and process start together, so that the engine holds weights it came with.
+        Its ``urgent`` is set if the version would come too late at the usual speed.
     """
 
     __slots__ = (
-        "_began_s",
         "_catalog",
         "_engine",
         "_fetches",
         "_idle",
+        "_may_switch",
         "_models",
+        "_monitor",
+        "_naming_times",
         "_piece_s",
-        "_read_back",
         "_stage",
-        "_stage_patience_s",
+        "_stage_recovered",
+        "_stage_wait_s",
+        "_started_s",
         "_store",
-        "_times",
-        "_turn",
         "_version_s",
         "_wake",
-        "_watch",
         "_window",
     )
 
@@ -108,27 +111,27 @@
     ) -> None:
         self._catalog = catalog
         self._engine = engine
-        self._watch = monitor
+        self._monitor = monitor
         self._store = store
         self._models = models
         self._fetches = FetchManager(start_fetch=start_fetch)
         self._stage = EngineStage(engine=engine)
         self._piece_s = piece_s
         self._window = window
-        self._read_back = False
-        self._times = naming_times
+        self._stage_recovered = False
+        self._naming_times = naming_times
         self._version_s = version_s
-        self._turn = may_switch
-        self._began_s = active_s()
-        self._stage_patience_s = FIRST_PATIENCE_S if first_start else LATER_PATIENCE_S
+        self._may_switch = may_switch
+        self._started_s = heard_s()
+        self._stage_wait_s = FIRST_START_WAIT_S if first_start else RESTART_WAIT_S
         self._wake = asyncio.Event()
-        self._idle = False  # whether nothing was left to do at the last look
-        monitor.staged_progress = self._progress
+        self._idle = False  # whether the last step found nothing to do
+        monitor.staged_progress = self._staged_progress
         catalog.on_change(lambda _: self._wake.set())
         super().__init__()
 
     async def stop(self) -> None:
-        """Stop fetching."""
+        """Stop fetching and close the connections to the engine."""
         await super().stop()
         self._fetches.stop()
         self._engine.close()
@@ -142,9 +145,9 @@
                 await self._advance(model)
 
     async def _pause(self) -> None:
-        """Wait for the next step, which comes at once where a version was named or described."""
+        """Wait until the next step is due or a version is named or described."""
         try:
-            async with asyncio.timeout(IDLE_STEP_S if self._idle else STEP_S):
+            async with asyncio.timeout(IDLE_INTERVAL_S if self._idle else STEP_INTERVAL_S):
                 await self._wake.wait()
         except TimeoutError:
             return
@@ -152,55 +155,57 @@
 
     async def _advance(self, model: str) -> None:
         """Do the next step towards the wanted version of a model."""
-        report = self._watch.report
+        report = self._monitor.report
         if report is not None and report.leaving:
             return
         known = versions_of(self._catalog, model)
         self._idle = self._idle and bool(known) and report is not None
         if not known or (report is None and self._may_hold_stage()):
             return
-        if report is not None and not self._read_back:
-            await self._read_stages(known)
+        if report is not None and not self._stage_recovered:
+            await self._recover_stage(known)
         progress = [self._progress_of(version) for version in known]
         held = self._held(report, known)
         now_s = asyncio.get_running_loop().time()
         plan = plan_versions(progress, held=held, version_s=self._version_s, now_s=now_s)
         if held == progress[0].number:
-            self._window.urgent = False  # until then others may still need what is here
-        elif is_urgent(progress, held=held, version_s=self._version_s, now_s=now_s):
+            self._window.urgent = (
+                False  # not earlier: other stagers may still need pieces from here
+            )
+        elif hurries(progress, held=held, version_s=self._version_s, now_s=now_s):
             self._window.urgent = True
         wanted = (
-            self._store.find_or_create(found) for found in known if found.number in plan.fetch
+            self._store.find_or_create(named) for named in known if named.number in plan.fetch
         )
-        self._fetches.fetch_only([found for found in wanted if found is not None])
+        self._fetches.fetch_only([opened for opened in wanted if opened is not None])
         goal = plan.install if plan.install is not None else next(iter(plan.fetch), None)
         staged = next(
-            (self._store.find_or_create(found) for found in known if found.number == goal), None
+            (self._store.find_or_create(named) for named in known if named.number == goal), None
         )
         if staged is None:
             return
         self._idle = False
-        bound = self._usable_until_s(progress, report, known)
+        deadline_s = self._usable_until_s(progress, report, known)
         if not staged.complete:
             if report is not None:
                 await self._stage.stage_pieces(staged)
             if staged.complete:
-                await self._watch.tell()  # whose turn it is depends on who is complete
-                if self._is_in_use(bound, report):
+                await self._monitor.publish()  # the switch order depends on who is complete
+                if self._is_in_use(deadline_s, report):
                     await asyncio.sleep(SWITCH_NOTICE_S)
             return
         if report is None or plan.install is None:
             return
-        if report.busy or not self._is_our_turn(staged, bound, report, announced=False):
+        if report.busy or not self._is_our_turn(staged, deadline_s, report, announced=False):
             return
-        await self._install(staged, bound)
+        await self._install(staged, deadline_s)
 
-    async def _read_stages(self, known: list[NamedVersion]) -> None:
-        """Take over what lay beside the engine when this process began."""
+    async def _recover_stage(self, known: list[NamedVersion]) -> None:
+        """Read the pieces that were staged before this process started."""
         for version in known:
             staged = self._store.find_or_create(version)
             if staged is not None:
-                self._read_back = True
+                self._stage_recovered = True
                 await self._stage.recover(staged)
 
     def _usable_until_s(
@@ -209,22 +214,22 @@
         report: EngineReport | None,
         known: list[NamedVersion],
     ) -> float:
-        """Give the loop time from which requests may not go to the engine as it is.
+        """Return the loop time after which requests may not go to the engine with its weights.
 
-        That is past where it holds no whole version: a few layers of one that is not wanted any
-        more serve nobody.
+        This is ``-inf`` if the engine holds no complete version: a few layers of a version that is
+        no longer wanted serve nobody.
         """
         held = self._held(report, known)
         if held is None:
             return float("-inf")
-        return staleness_deadline_s(progress, held, self._version_s)
+        return bound_s(progress, held, self._version_s)
 
     def _held(self, report: EngineReport | None, known: list[NamedVersion]) -> int | None:
-        return None if report is None else _whole_version(report, known)
+        return None if report is None else _complete_version(report, known)
 
     def _progress_of(self, version: NamedVersion) -> VersionProgress:
-        """Tell how far this VM is with a version."""
-        named_s = self._times.named_s(version.model, version.number)
+        """Return how much of a version this VM has fetched."""
+        named_s = self._naming_times.named_s(version.model, version.number)
         staged = self._store.find_or_create(version)
         if staged is None:
             return VersionProgress(
@@ -240,61 +245,61 @@
         )
 
     def _is_our_turn(
-        self, staged: StagedVersion, bound: float, report: EngineReport, *, announced: bool
+        self, staged: StagedVersion, deadline_s: float, report: EngineReport, *, announced: bool
     ) -> bool:
-        """Tell whether the engine may change now, without taking too many away at once."""
-        if not self._is_in_use(bound, report):
+        """Return whether the engine may switch now, which limits how many switch at once."""
+        if not self._is_in_use(deadline_s, report):
             return True
-        left_s = bound - LAST_CALL_S - asyncio.get_running_loop().time()
-        return self._turn(staged, announced, left_s)
+        left_s = deadline_s - FORCED_SWITCH_S - asyncio.get_running_loop().time()
+        return self._may_switch(staged, announced, left_s)
 
-    def _is_in_use(self, bound: float, report: EngineReport | None) -> bool:
-        """Tell whether requests may go to the engine with the weights that it holds.
+    def _is_in_use(self, deadline_s: float, report: EngineReport | None) -> bool:
+        """Return whether requests may go to the engine with the weights that it holds.
 
         Parameters
         ----------
-        bound
+        deadline_s
             Loop time from which its weights are too old.
         """
         if report is None or not report.served:
             return False
-        return asyncio.get_running_loop().time() < bound - LAST_CALL_S
+        return asyncio.get_running_loop().time() < deadline_s - FORCED_SWITCH_S
 
     def _may_hold_stage(self) -> bool:
-        """Tell whether the engine, once it answers, may turn out to hold pieces already."""
-        age_s = active_s() - self._began_s
-        return not self._read_back and age_s < self._stage_patience_s
+        """Return whether an engine that has not answered yet may already hold staged pieces."""
+        age_s = heard_s() - self._started_s
+        return not self._stage_recovered and age_s < self._stage_wait_s
 
-    async def _install(self, staged: StagedVersion, bound: float) -> None:
+    async def _install(self, staged: StagedVersion, deadline_s: float) -> None:
         await self._stage.stage_pieces(staged)
         if not await self._stage.verify(staged):
             return
-        self._watch.switching = True
-        await self._watch.publish()
+        self._monitor.switching = True
+        await self._monitor.publish()
         try:
-            if self._is_in_use(bound, self._watch.report):
+            if self._is_in_use(deadline_s, self._monitor.report):
                 await asyncio.sleep(SWITCH_NOTICE_S)
-            report = await self._watch.refresh()
-            if report is None or not self._is_our_turn(staged, bound, report, announced=True):
-                return  # another one announced at the same time, and comes first
-            report = await self._let_finish()
+            report = await self._monitor.refresh()
+            if report is None or not self._is_our_turn(staged, deadline_s, report, announced=True):
+                return  # another engine with an earlier place announced its switch at the same time
+            report = await self._drain()
             if report is None or report.busy or _holds(report, staged):
                 return
             await self._order(staged, report)
         finally:
-            self._watch.switching = False
-            await self._watch.publish()
+            self._monitor.switching = False
+            await self._monitor.publish()
 
-    async def _let_finish(self) -> EngineReport | None:
-        """Let requests in progress end; the order breaks off what still runs after that time."""
+    async def _drain(self) -> EngineReport | None:
+        """Wait for requests in progress to finish; the load order aborts those still running."""
         loop = asyncio.get_running_loop()
         until_s = loop.time() + DRAIN_TIMEOUT_S
         while loop.time() < until_s:
-            report = await self._watch.refresh()
+            report = await self._monitor.refresh()
             if report is None or report.active + report.queued == 0:
                 return report
-            await asyncio.sleep(STEP_S)
-        return self._watch.report
+            await asyncio.sleep(STEP_INTERVAL_S)
+        return self._monitor.report
 
     async def _order(self, staged: StagedVersion, report: EngineReport) -> None:
         order = LoadOrder(
@@ -313,16 +318,16 @@
         )
         ordered = await self._engine.order_load(order)
         if ordered.is_err():
-            log.warning("order not acknowledged", failure=str(ordered.unwrap_err()))
-            await asyncio.sleep(ORDER_AGAIN_S)
+            log.warning("load order not acknowledged", failure=str(ordered.unwrap_err()))
+            await asyncio.sleep(ORDER_RETRY_S)
         await self._wait_loaded(staged, report.sequence)
 
     async def _wait_loaded(self, staged: StagedVersion, sequence: int) -> None:
         loop = asyncio.get_running_loop()
-        began_s, asked_s = loop.time(), active_s()
-        while active_s() - asked_s < LOAD_PATIENCE_S:
-            await asyncio.sleep(STEP_S)
-            report = await self._watch.refresh()
+        began_s, ordered_s = loop.time(), heard_s()
+        while heard_s() - ordered_s < LOAD_TIMEOUT_S:
+            await asyncio.sleep(STEP_INTERVAL_S)
+            report = await self._monitor.refresh()
             if report is None:
                 return
             if _holds(report, staged):
@@ -334,13 +339,13 @@
                 )
                 return
             if not report.busy and report.sequence == sequence:
-                return  # the order was not taken
+                return  # the engine did not accept the order
             if not report.busy:
                 log.warning("load ended without the version", number=staged.number)
                 return
 
-    def _progress(self) -> tuple[int, int]:
-        """Give the newest version that lies complete beside the engine, and its pieces."""
+    def _staged_progress(self) -> tuple[int, int]:
+        """Return the newest complete version and its number of pieces; zeros if there is none."""
         for model in self._models():
             for version in self._store.versions(model):
                 if version.complete:
@@ -348,22 +353,23 @@
         return 0, 0
 
 
-def _whole_version(report: EngineReport, known: list[NamedVersion]) -> int | None:
-    """Give the newest version of a model of which the engine holds all layers.
+def _complete_version(report: EngineReport, known: list[NamedVersion]) -> int | None:
+    """Return the newest version of a model of which the engine holds all layers.
 
-    Layers are counted by the manifests that are known; all versions of a model have as many.
+    The number of layers comes from the known manifests; all versions of a model have the same
+    number.
     """
-    layers = max((found.manifest.layers for found in known if found.manifest), default=0)
-    whole = [
+    layers = max((version.manifest.layers for version in known if version.manifest), default=0)
+    complete = [
         served.version
         for served in report.served
         if served.model == known[0].model and served.first_layer == 0 and served.end_layer >= layers
     ]
-    return max(whole, default=None)
+    return max(complete, default=None)
 
 
 def _holds(report: EngineReport, staged: StagedVersion) -> bool:
-    """Tell whether the engine holds all layers of a version."""
+    """Return whether the engine holds all layers of a version."""
     return any(
         served.model == staged.model
         and served.version == staged.number
--- a/src/leadhollow/staging/link_monitor.py
+++ b/src/leadhollow/staging/link_monitor.py
@@ -1,4 +1,4 @@
-"""Notices by delay that this VM's link carries less than it should, and slows pieces down."""
+"""Detects from the delay of probes that this VM's link is slow, and limits piece transfers."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 
 MIN_PROBE_INTERVAL_S = 0.2
 MAX_PROBES_PER_S = 250.0
-"""Of all stagers together: a hundred of them probe each 0.4 s, so that a replica which a fifth of
-them follow answers fifty a second at any size."""
+"""Probes of all stagers together. A hundred stagers probe every 0.4 s each, so a replica that a
+fifth of them follows answers fifty a second. The total does not grow with the fleet."""
 
 TIMEOUT_MS = 1_000
-SLOW_PROBE_S = 0.35  # a few pieces in front of the probe in both directions explain less
-FAST_S = 0.2
-SHRINK = 0.6
-GROW = 0.05
+SLOW_PROBE_S = 0.35  # a few pieces ahead of the probe in both directions delay it by less
+FAST_PROBE_S = 0.2
+SHRINK_FACTOR = 0.6
+GROWTH_STEP = 0.05
 MIN_SHARE = 0.1
 
 log = get_logger("link")
 
 
 class _Probe:
-    __slots__ = ("asked_s", "source", "took_s")
+    __slots__ = ("sent_s", "source", "took_s")
 
-    def __init__(self, *, source: str, asked_s: float) -> None:
+    def __init__(self, *, source: str, sent_s: float) -> None:
         self.source = source
-        self.asked_s = asked_s
-        self.took_s: float | None = None  # while it is on its way
+        self.sent_s = sent_s
+        self.took_s: float | None = None  # None while it is in flight
 
 
 class LinkMonitor(TaskService):
-    """Sends small probes to the control replica that is followed, and times the answers.
+    """Sends small probes to the control replica that is followed, and measures their delay.
 
     Parameters
     ----------
-    stagers
-        Gives how many there are.
+    stager_count
+        Returns the number of stagers.
 
     Attributes
     ----------
     share
-        Part of the link's declared speed that pieces may use now.
+        Fraction of the link's declared speed that pieces may use now.
     """
 
-    __slots__ = ("_feed", "_last_delay_s", "_peers", "_probe", "_stagers", "_vm", "share")
+    __slots__ = ("_feed", "_last_delay_s", "_peers", "_probe", "_stager_count", "_vm", "share")
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self._feed = feed
         self._peers = peers
         self._vm = vm
-        self._stagers = stager_count
+        self._stager_count = stager_count
         self._probe: _Probe | None = None
         self._last_delay_s = 0.0
         self.share = 1.0
@@ -71,45 +71,45 @@
 
     async def _work(self) -> None:
         while True:
-            await asyncio.sleep(max(MIN_PROBE_INTERVAL_S, self._stagers() / MAX_PROBES_PER_S))
+            await asyncio.sleep(max(MIN_PROBE_INTERVAL_S, self._stager_count() / MAX_PROBES_PER_S))
             source = self._feed.source
             if not source:
                 continue
-            asked_s = active_s()
-            self._probe = _Probe(source=source, asked_s=asked_s)
-            answered = await self._peers.call(source, FeedProbe(self._vm), timeout_ms=TIMEOUT_MS)
-            self._probe.took_s = active_s() - asked_s
-            self.record_probe(self._probe.took_s, lost=answered.is_err())
+            sent_s = heard_s()
+            self._probe = _Probe(source=source, sent_s=sent_s)
+            result = await self._peers.call(source, FeedProbe(self._vm), timeout_ms=TIMEOUT_MS)
+            self._probe.took_s = heard_s() - sent_s
+            self.record_probe(self._probe.took_s, lost=result.is_err())
 
     def delay_s(self) -> float:
-        """Give what small messages take to this VM and back now, as far as is known.
+        """Return the current round-trip time of small messages to this VM, as far as known.
 
-        A probe on its way counts for as long as it has been, a lost one for its whole time, unless
-        another control replica is followed since: then it was not the link.
+        A probe in flight counts with its age, a lost probe with its whole time. Neither counts if
+        another control replica has been followed since: the delay may not be due to the link.
         """
         probe = self._probe
         if probe is None or probe.source != self._feed.source:
             return self._last_delay_s
         if probe.took_s is not None:
             return probe.took_s
-        return max(self._last_delay_s, active_s() - probe.asked_s)
+        return max(self._last_delay_s, heard_s() - probe.sent_s)
 
     def record_probe(self, delay_s: float, *, lost: bool) -> None:
-        """Take one probe's delay.
+        """Adjust the share to the delay of a probe.
 
-        A lost probe says nothing of our link where the one before was quick: the control replica
-        may be gone.
+        A lost probe says nothing about the link if the probe before it was fast: the control
+        replica may be down.
         """
         before = self.share
-        slow = self._last_delay_s > FAST_S if lost else delay_s > SLOW_PROBE_S
+        slow = self._last_delay_s > FAST_PROBE_S if lost else delay_s > SLOW_PROBE_S
         if slow:
-            self.share = max(MIN_SHARE, self.share * SHRINK)
-        elif lost or delay_s < FAST_S:
-            self.share = min(1.0, self.share + GROW)
+            self.share = max(MIN_SHARE, self.share * SHRINK_FACTOR)
+        elif lost or delay_s < FAST_PROBE_S:
+            self.share = min(1.0, self.share + GROWTH_STEP)
         if not lost:
             self._last_delay_s = delay_s
         if before == 1.0 and self.share < 1.0:
             log.warning("link is slow", delay_ms=round(delay_s * 1000), lost=lost)
 
 
-__all__ = ["LinkGauge"]
+__all__ = ["LinkMonitor"]
--- a/src/leadhollow/staging/origin_source.py
+++ b/src/leadhollow/staging/origin_source.py
@@ -1,4 +1,4 @@
-"""Where pieces come from in the first place."""
+"""Reads pieces from the origin, the original source of all weights."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from leadhollow.settings.address import Address
 from leadhollow.weights.origin_dialect import OriginDialect
 
-ORIGIN_TIMEOUT_S = 4.0  # a piece over an origin's link that all stagers share
+ORIGIN_TIMEOUT_S = 4.0  # for one piece over the origin's link, which all stagers share
 
 log = get_logger("origin")
 
@@ -20,7 +20,7 @@
     Parameters
     ----------
     address
-        Gives the origin's address, None while it is not known.
+        Returns the origin's address, None while it is unknown.
     """
 
     __slots__ = ("_address", "_dialect", "_http", "bytes_read")
@@ -32,21 +32,21 @@
         self.bytes_read = 0
 
     async def piece(self, model: str, number: int, index: int) -> bytes | None:
-        """Read one piece; None where it did not come."""
+        """Read one piece; None if the read failed."""
         address = self._address()
         if address is None:
             return None
         target = self._dialect.piece_target(model, number, index)
-        answered = await self._http.fetch("GET", address, target, timeout_s=ORIGIN_TIMEOUT_S)
-        if answered.is_err():
-            log.warning("piece not read", index=index, failure=str(answered.unwrap_err()))
+        result = await self._http.fetch("GET", address, target, timeout_s=ORIGIN_TIMEOUT_S)
+        if result.is_err():
+            log.warning("piece not read", index=index, failure=str(result.unwrap_err()))
             return None
-        answer = answered.unwrap()
-        self.bytes_read += len(answer.body)
-        if answer.status != 200:
-            log.warning("piece refused", index=index, status=answer.status)
+        response = result.unwrap()
+        self.bytes_read += len(response.body)
+        if response.status != 200:
+            log.warning("origin refused the piece", index=index, status=response.status)
             return None
-        return answer.body
+        return response.body
 
 
 __all__ = ["OriginSource"]
--- a/src/leadhollow/staging/piece_assignment.py
+++ b/src/leadhollow/staging/piece_assignment.py
@@ -1,12 +1,14 @@
-"""Who brings which piece where, agreed without a message.
+"""Assigns to each piece the stagers that obtain it, without any coordination messages.
 
-Each piece has one stager that reads it from the origin, and in every other failure domain one that
-brings it in from outside; the rest of the domain takes it from there. All who know of the same
-stagers come to the same answer, so a piece leaves the origin once and enters each domain once.
-Pieces are dealt out in turn, because chance would give some stagers half as much again as others.
+Each piece has one reader, the stager that reads it from the origin. In every other failure domain
+it has one importer, which requests it from another domain; the rest of the domain gets it from the
+importer. All stagers that know of the same stagers compute the same assignment, so each piece
+leaves the origin once and enters each domain once. Pieces are assigned in turn: with a random
+assignment some stagers would get half as much again as others.
 
-A stager follows all of its own domain, and of the others only those whose word it needs: a fleet in
-which everybody follows everybody tells each piece to as many as there are, from as many.
+A stager follows all stagers of its own domain, but of other domains only those whose announcements
+it needs. If all followed all, the announcements of each piece would grow with the square of the
+fleet's size.
 """
 
 from __future__ import annotations
@@ -16,17 +18,18 @@
 from itertools import accumulate
 
 SUCCESSOR_COUNT = 4
-"""Stagers that share the pieces of a lost reader; each follows as many before it in the order, so
-that it knows. One alone would read twice as much as the others of a small fleet."""
+"""Stagers that divide the pieces of an unreachable reader. Each follows as many stagers before it
+in the order, to notice when one is lost. In a small fleet a single successor would read twice as
+much as the others."""
 
 
 class Stager:
-    """A process beside an engine that takes part in the exchange.
+    """A process beside an engine that takes part in the exchange of pieces.
 
     Parameters
     ----------
     address
-        Where its frames go.
+        Address of its wire listener.
     """
 
     __slots__ = ("address", "failure_domain")
@@ -43,18 +46,25 @@
 
 
 class PieceAssignment:
-    """Tasks of one version among the stagers that are known.
+    """Readers and importers of the pieces of one version, among the known stagers.
 
     Parameters
     ----------
     number
-        Version; each deals the tasks out in another order.
-    lost
-        Addresses of those that are known and cannot be reached. The others keep their tasks,
-        since not everybody knows of it.
+        The version; each version orders the stagers differently.
+    unreachable
+        Addresses of known stagers that cannot be reached. The others keep their pieces, because not
+        every stager knows of the loss.
     """
 
-    __slots__ = ("_alive", "_alive_before", "_by_domain", "_order", "_places", "_successors")
+    __slots__ = (
+        "_domain_ranks",
+        "_order",
+        "_positions",
+        "_reachable",
+        "_reachable_before",
+        "_successors",
+    )
 
     def __init__(
         self, *, number: int, stagers: Sequence[Stager], unreachable: Collection[str] = ()
@@ -63,102 +73,104 @@
             return zlib.crc32(f"{number}/{stager.address}".encode())
 
         self._order = sorted(stagers, key=rank)
-        self._places = {stager.address: place for place, stager in enumerate(self._order)}
-        self._alive = [stager.address not in unreachable for stager in self._order]
-        self._alive_before = [0, *accumulate(map(int, self._alive))]
+        self._positions = {stager.address: position for position, stager in enumerate(self._order)}
+        self._reachable = [stager.address not in unreachable for stager in self._order]
+        self._reachable_before = [0, *accumulate(map(int, self._reachable))]
         self._successors: dict[int, list[Stager]] = {}
-        self._by_domain: dict[str, dict[str, int]] = {}
-        for stager, alive in zip(self._order, self._alive, strict=True):
-            if alive:
-                inside = self._by_domain.setdefault(stager.failure_domain, {})
-                inside[stager.address] = len(inside)
+        self._domain_ranks: dict[str, dict[str, int]] = {}
+        for stager, reachable in zip(self._order, self._reachable, strict=True):
+            if reachable:
+                ranks = self._domain_ranks.setdefault(stager.failure_domain, {})
+                ranks[stager.address] = len(ranks)
 
     def origin_reader(self, index: int) -> Stager:
-        """Give the stager that reads a piece from the origin."""
-        turn, place = divmod(index, len(self._order))
-        if self._alive[place]:
-            return self._order[place]
-        instead = self._instead_of(place)
-        return instead[turn % len(instead)]
+        """Return the stager that reads a piece from the origin."""
+        cycle, position = divmod(index, len(self._order))
+        if self._reachable[position]:
+            return self._order[position]
+        successors = self._successors_of(position)
+        return successors[cycle % len(successors)]
 
     def reader_rank(self, index: int, stager: Stager) -> int:
-        """Give how many others come before a stager in reading a piece from the origin."""
+        """Return how many stagers come before this one in reading a piece from the origin."""
         first = index % len(self._order)
-        own = self._places[stager.address]
-        before = self._alive_between(first, own)
-        if self._alive[first]:
+        own = self._positions[stager.address]
+        before = self._reachable_between(first, own)
+        if self._reachable[first]:
             return before
         reader = self.origin_reader(index)
         if reader == stager:
             return 0
-        ahead = self._alive_between(first, self._places[reader.address]) < before
+        ahead = self._reachable_between(first, self._positions[reader.address]) < before
         return before if ahead else before + 1
 
     def importer_rank(self, index: int, stager: Stager) -> int:
-        """Give how many others of its domain come before a stager in bringing a piece in."""
-        inside = self._by_domain[stager.failure_domain]
-        first = inside[self.importer(index, stager.failure_domain).address]
-        return (inside[stager.address] - first) % len(inside)
+        """Return how many stagers of its domain come before this one in importing a piece."""
+        ranks = self._domain_ranks[stager.failure_domain]
+        first = ranks[self.importer(index, stager.failure_domain).address]
+        return (ranks[stager.address] - first) % len(ranks)
 
     def importer_count(self, failure_domain: str) -> int:
-        """Count the stagers of a failure domain."""
-        return len(self._by_domain[failure_domain])
+        """Return the number of reachable stagers in a failure domain."""
+        return len(self._domain_ranks[failure_domain])
 
     def importer(self, index: int, failure_domain: str) -> Stager:
-        """Give the stager that brings a piece into a failure domain."""
+        """Return the stager that imports a piece into a failure domain."""
         reader = self.origin_reader(index)
         if reader.failure_domain == failure_domain:
             return reader
-        inside = self._by_domain[failure_domain]
-        address = list(inside)[index % len(inside)]
-        return self._order[self._places[address]]
+        ranks = self._domain_ranks[failure_domain]
+        address = list(ranks)[index % len(ranks)]
+        return self._order[self._positions[address]]
 
     def stagers_to_follow(self, own: Stager, *, piece_count: int, max_rank: int) -> set[str]:
-        """Give the stagers of other domains whose word one needs.
+        """Return the stagers of other domains whose announcements a stager needs.
 
         Parameters
         ----------
-        pieces
-            Pieces of the version.
-        places
-            How far back in the order of importers of its domain one has to know who reads a piece.
+        piece_count
+            Number of pieces of the version.
+        max_rank
+            Highest importer rank at which the stager has to know the reader of a piece.
 
         Returns
         -------
         set
-            Addresses: of those before it in the order of readers, whose pieces it reads where they
-            are lost, of the readers of what it may have to bring in, and of one more holder of
-            what it is the first to bring in.
+            Addresses of three kinds of stagers: those before it in the order, whose pieces it reads
+            if they are lost; the readers of pieces that it may have to import; and a second holder
+            for each piece that it is the first to import.
         """
         size = len(self._order)
-        at = self._places[own.address]
+        at = self._positions[own.address]
         found = {self._order[(at - 1 - step) % size] for step in range(min(SUCCESSOR_COUNT, size))}
-        domains = sorted(set(self._by_domain) - {own.failure_domain})
+        domains = sorted(set(self._domain_ranks) - {own.failure_domain})
         for index in range(piece_count):
             reader = self.origin_reader(index)
             if reader.failure_domain == own.failure_domain:
                 continue
-            place = self.importer_rank(index, own)
-            if place <= max_rank:
+            rank = self.importer_rank(index, own)
+            if rank <= max_rank:
                 found.add(reader)
-            if place == 0:
+            if rank == 0:
                 found.add(self.importer(index, domains[index % len(domains)]))
         return {stager.address for stager in found if stager.failure_domain != own.failure_domain}
 
-    def _alive_between(self, first: int, place: int) -> int:
-        """Count the stagers that are not lost from one place up to another, going round."""
-        counted = self._alive_before[place] - self._alive_before[first]
-        return counted if place >= first else counted + self._alive_before[-1]
+    def _reachable_between(self, first: int, position: int) -> int:
+        """Count the reachable stagers from one position up to another, wrapping around."""
+        counted = self._reachable_before[position] - self._reachable_before[first]
+        return counted if position >= first else counted + self._reachable_before[-1]
 
-    def _instead_of(self, place: int) -> list[Stager]:
-        """Give those that read the pieces of a lost stager."""
-        found = self._successors.get(place)
+    def _successors_of(self, position: int) -> list[Stager]:
+        """Return the stagers that read the pieces of an unreachable one."""
+        found = self._successors.get(position)
         if found is None:
             size = len(self._order)
-            after = [(place + step) % size for step in range(1, size)]
-            found = [self._order[other] for other in after if self._alive[other]][:SUCCESSOR_COUNT]
-            self._successors[place] = found
+            after = [(position + step) % size for step in range(1, size)]
+            found = [self._order[other] for other in after if self._reachable[other]][
+                :SUCCESSOR_COUNT
+            ]
+            self._successors[position] = found
         return found
 
 
-__all__ = ["SUCCESSORS", "Sharing", "Stager"]
+__all__ = ["SUCCESSOR_COUNT", "PieceAssignment", "Stager"]
--- a/src/leadhollow/staging/piece_server.py
+++ b/src/leadhollow/staging/piece_server.py
@@ -1,4 +1,4 @@
-"""Sends slices of pieces to other stagers, and tells them which pieces are here."""
+"""Sends slices of pieces to other stagers and announces the pieces that are held."""
 
 from __future__ import annotations
 
@@ -19,81 +19,100 @@
 from leadhollow.wire.handlers import HandlerTable
 from leadhollow.wire.streams import StreamSink
 
-WAIT_VERSION_S = 0.1
+VERSION_POLL_S = 0.1
 LINK_SHARE = 0.86
-"""Part of the link for pieces: the engine's answers leave over the same one, a tenth of it where
-the engine is busy, and must not queue."""
+"""Share of the link for pieces. The engine's responses leave over the same link, take a tenth of it
+while the engine is busy, and must not queue."""
 
-HURRIED_SHARE = 0.92  # where the version would come too late otherwise
-BURST_S = 0.015  # a slice's time on a slow link
-FRAME_SHARE = 1.03  # bytes on the wire for each byte of a slice
-BACKLOG_BYTES = 8 * 1024  # a receiver that takes no more gets its next slice later
+URGENT_LINK_SHARE = 0.92  # if the version would otherwise come too late
+BURST_S = 0.015  # time of one slice on a slow link
+FRAME_OVERHEAD = 1.03  # bytes on the wire for each byte of a slice
+BACKLOG_BYTES = 8 * 1024  # a receiver with a larger backlog gets its next slice later
 BLOCKED_POLL_S = 0.01
-LONGEST_PATIENCE_MS = 10_000
+MAX_PATIENCE_MS = 10_000
 
 
-class _Want:
-    """A slice that another stager waits for.
+class _PendingSlice:
+    """A slice that another stager has requested.
 
     Parameters
     ----------
-    give_up_s
-        Loop time after which the other stager does not wait for it any more.
+    other_domain
+        Whether the other stager is in another failure domain.
+    rank
+        Place of the other stager's engine in the switch order.
+    number
+        Sequence number of the request.
+    expires_s
+        Loop time after which the other stager no longer waits for it.
+    sent
+        Is set to the waiting time in milliseconds when the slice leaves.
     """
 
-    __slots__ = ("answer", "asked_s", "connection", "data", "far", "give_up_s", "number", "turn")
+    __slots__ = (
+        "connection",
+        "data",
+        "expires_s",
+        "number",
+        "other_domain",
+        "rank",
+        "requested_s",
+        "sent",
+    )
 
     def __init__(
         self,
         *,
         data: bytes,
-        far: bool,
-        turn: int,
+        other_domain: bool,
+        rank: int,
         number: int,
-        asked_s: float,
-        give_up_s: float,
+        requested_s: float,
+        expires_s: float,
         connection: Connection,
-        answer: asyncio.Future[int],
+        sent: asyncio.Future[int],
     ) -> None:
         self.data = data
-        self.far = far
-        self.turn = turn
+        self.other_domain = other_domain
+        self.rank = rank
         self.number = number
-        self.asked_s = asked_s
-        self.give_up_s = give_up_s
+        self.requested_s = requested_s
+        self.expires_s = expires_s
         self.connection = connection
-        self.answer = answer
+        self.sent = sent
 
-    def rank(self) -> tuple[bool, int, int]:
-        """Give its place: what must cross domains first, then by turn, then as asked."""
-        return not self.far, self.turn, self.number
+    def order(self) -> tuple[bool, int, int]:
+        """Return the sort key: other failure domains first, then by rank, then by request order."""
+        return not self.other_domain, self.rank, self.number
 
 
 class PieceServer(TaskService):
-    """Answers other stagers.
+    """Serves pieces to other stagers.
 
-    Slices leave one after the other at the pace of the link, so that whatever else leaves this VM
-    waits for one of them at most.
+    Slices leave one by one at the speed of the link. All other traffic of this VM then waits for
+    one slice at most.
 
     Parameters
     ----------
     link_bytes_per_s
-        Gives what this VM's link carries now.
+        Returns the current capacity of this VM's link.
     failure_domain
-        Ours; stagers of others are served first, because each piece enters a domain only once.
-        Then go those whose engine changes first, so that not all have to change at once.
-    hurries
-        Tells whether pieces go before requests, since the version would come too late.
+        The own failure domain. Stagers of other domains are served first, because each piece enters
+        a domain only once. Next come those whose engines switch first, which spreads the switches
+        over time.
+    urgent
+        Returns whether pieces go before requests, because the version would otherwise come too
+        late.
     """
 
     __slots__ = (
-        "_asked",
         "_failure_domain",
+        "_followers",
         "_pacer",
+        "_pending",
+        "_request_count",
         "_store",
         "_wake",
-        "_wants",
-        "_watchers",
         "bytes_sent",
     )
 
@@ -108,18 +127,18 @@
     ) -> None:
         self._store = store
         self._failure_domain = failure_domain
-        self._wants: list[_Want] = []
-        self._asked = 0
+        self._pending: list[_PendingSlice] = []
+        self._request_count = 0
 
         def rate_bytes_per_s() -> float:
-            return link_bytes_per_s() * (HURRIED_SHARE if urgent() else LINK_SHARE)
+            return link_bytes_per_s() * (URGENT_LINK_SHARE if urgent() else LINK_SHARE)
 
         self._pacer = Pacer(rate_bytes_per_s=rate_bytes_per_s, burst_s=BURST_S)
         self._wake = asyncio.Event()
-        self._watchers = 0
+        self._followers = 0
         self.bytes_sent = 0
         super().__init__()
-        handlers.on_stream(PieceWatch, self._on_watch)
+        handlers.on_stream(PieceWatch, self._on_follow)
         handlers.on_call(SliceRequest, self._on_slice)
 
     async def _work(self) -> None:
@@ -127,29 +146,33 @@
         while True:
             self._wake.clear()
             await self._pacer.wait_until_free()
-            want = self._next(loop.time())
-            if want is None:
+            pending = self._next(loop.time())
+            if pending is None:
                 await self._wait()
                 continue
-            self._wants.remove(want)
-            size = int(len(want.data) * FRAME_SHARE)
+            self._pending.remove(pending)
+            size = int(len(pending.data) * FRAME_OVERHEAD)
             self._pacer.spend(size)
             self.bytes_sent += size
-            want.answer.set_result(int((loop.time() - want.asked_s) * 1000))
-
-    def _next(self, now_s: float) -> _Want | None:
-        """Choose the slice that leaves next, of those whose receivers take it."""
-        for want in self._wants:
-            if now_s > want.give_up_s and not want.answer.done():
-                want.answer.cancel()
-        self._wants = [want for want in self._wants if not want.answer.done()]
-        ready = [want for want in self._wants if want.connection.backlog_bytes <= BACKLOG_BYTES]
-        return min(ready, key=_Want.rank) if ready else None
+            pending.sent.set_result(int((loop.time() - pending.requested_s) * 1000))
+
+    def _next(self, now_s: float) -> _PendingSlice | None:
+        """Return the slice to send next, among those whose receivers can take more data."""
+        for pending in self._pending:
+            if now_s > pending.expires_s and not pending.sent.done():
+                pending.sent.cancel()
+        self._pending = [pending for pending in self._pending if not pending.sent.done()]
+        ready = [
+            pending
+            for pending in self._pending
+            if pending.connection.backlog_bytes <= BACKLOG_BYTES
+        ]
+        return min(ready, key=_PendingSlice.order) if ready else None
 
     async def _wait(self) -> None:
-        """Wait for a request; a receiver whose socket is full is looked at again."""
+        """Wait for a request; while receivers have a full backlog, only for ``BLOCKED_POLL_S``."""
         try:
-            async with asyncio.timeout(BLOCKED_POLL_S if self._wants else None):
+            async with asyncio.timeout(BLOCKED_POLL_S if self._pending else None):
                 await self._wake.wait()
         except TimeoutError:
             return
@@ -157,7 +180,7 @@
     async def _on_slice(
         self, request: SliceRequest, connection: Connection
     ) -> Result[SliceReply, Failure]:
-        """Send part of a piece when it is its turn."""
+        """Queue the requested slice and reply when it is sent."""
         version = self._store.find(request.model, int(request.version or 0))
         piece = None if version is None else version.piece(int(request.piece or 0))
         offset = int(request.offset or 0)
@@ -165,56 +188,56 @@
         if piece is None or not 0 <= offset < len(piece) or size <= 0:
             return Err(Failure(code=Code.CHUNK_UNKNOWN, detail=f"piece {request.piece}"))
         loop = asyncio.get_running_loop()
-        patience_ms = min(int(request.patience_ms or LONGEST_PATIENCE_MS), LONGEST_PATIENCE_MS)
+        patience_ms = min(int(request.patience_ms or MAX_PATIENCE_MS), MAX_PATIENCE_MS)
         data = piece[offset : offset + size]
-        answer: asyncio.Future[int] = loop.create_future()
-        self._asked += 1
-        want = _Want(
+        sent: asyncio.Future[int] = loop.create_future()
+        self._request_count += 1
+        pending = _PendingSlice(
             data=data,
-            far=request.failure_domain != self._failure_domain,
-            turn=int(request.turn or 0),
-            number=self._asked,
-            asked_s=loop.time(),
-            give_up_s=loop.time() + patience_ms / 1000,
+            other_domain=request.failure_domain != self._failure_domain,
+            rank=int(request.turn or 0),
+            number=self._request_count,
+            requested_s=loop.time(),
+            expires_s=loop.time() + patience_ms / 1000,
             connection=connection,
-            answer=answer,
+            sent=sent,
         )
-        self._wants.append(want)
+        self._pending.append(pending)
         self._wake.set()
         try:
-            await asyncio.wait([answer])
+            await asyncio.wait([sent])
         except asyncio.CancelledError:
-            answer.cancel()  # the connection ended; the slice does not leave
+            sent.cancel()  # the connection ended; the slice is not sent
             raise
-        if answer.cancelled():
+        if sent.cancelled():
             return Err(Failure(code=Code.PEER_TIMEOUT, detail="too many others wait for slices"))
-        return Ok(SliceReply(data, answer.result()))
+        return Ok(SliceReply(data, sent.result()))
 
-    async def _on_watch(self, request: PieceWatch, sink: StreamSink) -> Result[None, Failure]:
-        """Send what is held, then each piece as it comes."""
-        self._watchers += 1
+    async def _on_follow(self, request: PieceWatch, sink: StreamSink) -> Result[None, Failure]:
+        """Announce the pieces that are held, then each new one."""
+        self._followers += 1
         try:
-            return await self._tell_news(request, sink)
+            return await self._announce(request, sink)
         finally:
-            self._watchers -= 1
+            self._followers -= 1
 
-    async def _tell_news(self, request: PieceWatch, sink: StreamSink) -> Result[None, Failure]:
+    async def _announce(self, request: PieceWatch, sink: StreamSink) -> Result[None, Failure]:
         version = self._store.find(request.model, request.version)
         if version is None:
-            await sink.send(PieceNews(b"", []))  # so that nobody waits for us to begin
+            await sink.send(PieceNews(b"", []))  # the follower need not wait until this one starts
         while version is None:
-            await asyncio.sleep(WAIT_VERSION_S)
+            await asyncio.sleep(VERSION_POLL_S)
             version = self._store.find(request.model, request.version)
-        told = Bitmap.from_bytes(version.held.to_bytes(), count=version.held.count)
-        await sink.send(PieceNews(told.to_bytes(), []))
-        while not told.complete:
-            news = [index for index in version.held.indexes() if index not in told]
-            if not news:
+        announced = Bitmap.from_bytes(version.held.to_bytes(), count=version.held.count)
+        await sink.send(PieceNews(announced.to_bytes(), []))
+        while not announced.complete:
+            added = [index for index in version.held.indexes() if index not in announced]
+            if not added:
                 await version.wait_changed()
-                await asyncio.sleep(announce_interval_s(self._watchers))
+                await asyncio.sleep(announce_interval_s(self._followers))
                 continue
-            told.add_all(news)
-            await sink.send(PieceNews(b"", news))
+            announced.add_all(added)
+            await sink.send(PieceNews(b"", added))
         return Ok(None)
 
 
--- a/src/leadhollow/staging/piece_window.py
+++ b/src/leadhollow/staging/piece_window.py
@@ -1,33 +1,33 @@
-"""How many pieces may be on their way to this VM at a time."""
+"""Limits how many pieces a stager requests at the same time."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 WINDOW = 5
-"""Slices on their way, each of another piece: enough to keep our link full while senders are busy
-with others, and no more, because the requests for the engine come over the same link."""
+"""Slices in flight, each of a different piece. They keep the link busy while senders serve other
+stagers. More would delay the requests for the engine, which arrive over the same link."""
 
-URGENT_WINDOW = 7  # where the version would come too late otherwise
+URGENT_WINDOW = 7  # if the version would otherwise come too late
 
-ORIGIN_WINDOW = 2  # of them, further ones from the origin: one on its way, one to follow it at once
-SLOW_SLICE_S = 0.25  # on its way; with a full window and pieces of the origin it is a tenth
+ORIGIN_WINDOW = 2  # additional pieces from the origin: one in transfer, one queued behind it
+SLOW_SLICE_S = 0.25  # 0.1 s is usual with a full window and pieces from the origin
 FAST_SLICE_S = 0.12
-STEP = 0.25
+GROWTH_STEP = 0.25
 
 
 class PieceWindow:
-    """Shrinks while pieces take long, as over a narrowed link, whatever version they are of.
+    """Number of pieces in flight, reduced while transfers are slow; all versions share one window.
 
     Parameters
     ----------
     link_share
-        Gives what part of its declared speed this VM's link is thought to carry.
+        Returns the fraction of the declared speed that this VM's link is estimated to carry.
 
     Attributes
     ----------
-    hurries
-        Whether pieces go before requests, since the version would come too late.
+    urgent
+        Whether pieces go before requests, because the version would otherwise come too late.
     """
 
     __slots__ = ("_link_share", "_size", "urgent")
@@ -39,36 +39,36 @@
 
     @property
     def size(self) -> int:
-        """Pieces of which a slice may be on its way; at least one."""
-        most = URGENT_WINDOW / WINDOW if self.urgent else 1.0
-        return max(1, round(self._size * most * self._link_share()))
+        """Number of pieces of which a slice may be in flight; at least one."""
+        factor = URGENT_WINDOW / WINDOW if self.urgent else 1.0
+        return max(1, round(self._size * factor * self._link_share()))
 
     @property
     def link_slow(self) -> bool:
-        """Whether this VM's link is thought to carry less than it should."""
+        """Whether this VM's link is estimated to carry less than its declared speed."""
         return self._link_share() < 1.0
 
     @property
     def reduced(self) -> bool:
-        """Whether the link is thought to be slow; what the origin sends then counts too."""
+        """Whether the window is below its normal size; pieces from the origin then count too."""
         return self.size < WINDOW
 
     def record_slice(self, took_s: float) -> None:
-        """Take the time that a slice was on its way, without its wait at the sender."""
+        """Record the transfer time of a slice, without its time in the sender's queue."""
         if took_s > SLOW_SLICE_S:
             self._size = max(1.0, self._size / 2)
         elif took_s < FAST_SLICE_S:
-            self._size = min(float(WINDOW), self._size + STEP)
+            self._size = min(float(WINDOW), self._size + GROWTH_STEP)
 
     def allows_stager(self, *, from_stagers: int, from_origin: int) -> bool:
-        """Tell whether another stager may be asked for one more piece."""
+        """Return whether one more piece may be requested from another stager."""
         return from_stagers + (from_origin if self.reduced else 0) < self.size
 
     def allows_origin(self, *, from_stagers: int, from_origin: int) -> bool:
-        """Tell whether the origin may be asked for one more piece.
+        """Return whether one more piece may be requested from the origin.
 
-        Over a slow link one piece at a time, whether stagers owe us more or not: they may have
-        nothing that we need.
+        Over a slow link the limit is one piece at a time, even while pieces from stagers are
+        pending: those stagers may not hold what is missing here.
         """
         if not self.reduced:
             return from_origin < ORIGIN_WINDOW
@@ -76,10 +76,10 @@
 
 
 __all__ = [
-    "FROM_ORIGIN",
-    "HURRIED_WINDOW",
-    "QUICK_SLICE_S",
+    "FAST_SLICE_S",
+    "ORIGIN_WINDOW",
     "SLOW_SLICE_S",
+    "URGENT_WINDOW",
     "WINDOW",
     "PieceWindow",
 ]
--- a/src/leadhollow/staging/pieces.py
+++ b/src/leadhollow/staging/pieces.py
@@ -1,4 +1,4 @@
-"""Pieces of versions in memory, each checked against its digest when it came."""
+"""In-memory store of weight pieces, each verified against its digest when it is added."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from leadhollow.weights.bitmap import Bitmap
 from leadhollow.weights.named_versions import NamedVersion, PieceManifest
 
-VERSIONS_KEPT = 2  # the one that runs, for others that are empty, and the one that comes
+MAX_VERSIONS = 2  # the running one, for stagers that start empty, and the next one
 
 
 class StagedVersion:
-    """One version of one model, whole or in part."""
+    """The pieces of one version of one model, complete or partial."""
 
     __slots__ = ("_changed", "_notify", "_pieces", "held", "manifest", "model", "number")
 
@@ -29,11 +29,17 @@
 
     @property
     def complete(self) -> bool:
-        """Whether no piece is missing."""
+        """Whether all pieces are held."""
         return self.held.complete
 
     def add(self, index: int, data: bytes) -> bool:
-        """Keep a piece; False where the bytes are not this piece."""
+        """Store a piece.
+
+        Returns
+        -------
+        bool
+            False if the index is out of range or the data does not match the digest.
+        """
         if index in self._pieces:
             return True
         if not 0 <= index < self.held.count or not self.manifest.matches(index, data):
@@ -46,16 +52,16 @@
         return True
 
     def piece(self, index: int) -> bytes | None:
-        """Give a piece, None where it is not held."""
+        """Return a piece, None if it is not held."""
         return self._pieces.get(index)
 
     async def wait_changed(self) -> None:
-        """Wait for the next piece."""
+        """Wait until the next piece is added."""
         await self._changed.wait()
 
 
 class PieceStore:
-    """Versions that this process holds."""
+    """The versions that this process holds."""
 
     __slots__ = ("_listeners", "_versions")
 
@@ -64,30 +70,30 @@
         self._listeners: list[Callable[[], None]] = []
 
     def on_piece(self, listener: Callable[[], None]) -> None:
-        """Call a function with each piece that is taken."""
+        """Register a function to be called after each added piece."""
         self._listeners.append(listener)
 
     def find(self, model: str, number: int) -> StagedVersion | None:
-        """Find a version."""
+        """Return a version, None if this process does not hold it."""
         return self._versions.get((model, number))
 
     def find_or_create(self, version: NamedVersion) -> StagedVersion | None:
-        """Find or begin a version; None while it is not described."""
+        """Return a version, created empty if needed; None while its manifest is unknown."""
         found = self.find(version.model, version.number)
         if found is not None or version.manifest is None:
             return found
-        opened = StagedVersion(
+        created = StagedVersion(
             model=version.model,
             number=version.number,
             manifest=version.manifest,
             notify=self._notify,
         )
-        self._versions[(version.model, version.number)] = opened
-        self._forget(version.model)
-        return opened
+        self._versions[(version.model, version.number)] = created
+        self._discard_old(version.model)
+        return created
 
     def versions(self, model: str) -> list[StagedVersion]:
-        """Give the versions of a model, the newest first."""
+        """Return the versions of a model, newest first."""
         found = [version for (name, _), version in self._versions.items() if name == model]
         return sorted(found, key=lambda version: -version.number)
 
@@ -95,8 +101,8 @@
         for listener in self._listeners:
             listener()
 
-    def _forget(self, model: str) -> None:
-        for old in self.versions(model)[VERSIONS_KEPT:]:
+    def _discard_old(self, model: str) -> None:
+        for old in self.versions(model)[MAX_VERSIONS:]:
             del self._versions[(old.model, old.number)]
 
 
--- a/src/leadhollow/staging/switch_coordinator.py
+++ b/src/leadhollow/staging/switch_coordinator.py
@@ -1,4 +1,4 @@
-"""What other engines report of themselves, as far as a stager needs it."""
+"""Tracks the load reports of other engines to decide when this stager's engine may switch."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from leadhollow.wire.generated.ttypes import LoadRecord
 
 SWITCH_VALID_S = 3.0
-"""Longer than any change of weights takes; an engine that said so before was lost in it. Everything
-else that an engine said of its standing holds until it says something else, or is gone."""
+"""Longer than any switch takes; an engine that reported one earlier was lost during it. All other
+reported state holds until the engine reports something else or is gone."""
 
 
 class SwitchCoordinator:
-    """Newest report of each engine."""
+    """Keeps the newest load report of each engine and derives whose turn it is to switch."""
 
-    __slots__ = ("_heard_s", "_records")
+    __slots__ = ("_records", "_reported_s")
 
     def __init__(self, *, feed: ControlFeed) -> None:
         self._records: dict[str, LoadRecord] = {}
-        self._heard_s: dict[str, float] = {}
-        feed.on_load(self._take)
+        self._reported_s: dict[str, float] = {}
+        feed.on_load(self._update)
 
     def is_turn(
         self,
@@ -34,31 +34,31 @@
         announced: bool,
         left_s: float,
     ) -> bool:
-        """Tell whether our engine may change to a version now.
+        """Return whether this stager's engine may switch to a version now.
 
         Parameters
         ----------
         own
-            Address of our engine.
-        domains
+            Address of this stager's engine.
+        failure_domains
             Failure domain of each engine of the same service, by address.
         announced
-            Whether the others have been told that our engine changes.
+            Whether the other stagers have been told that this engine switches.
         left_s
-            Time until requests may not go to an engine any more that has not changed.
+            Time until requests may no longer go to an engine that has not switched.
         """
         now_s = asyncio.get_running_loop().time()
-        standings = [
-            _standing(
+        engines = [
+            _switch_state(
                 record,
                 staged,
                 failure_domain=failure_domains[address],
-                recent=now_s - self._heard_s[address] < SWITCH_VALID_S,
+                recent=now_s - self._reported_s[address] < SWITCH_VALID_S,
             )
             for address, record in self._records.items()
             if address in failure_domains and address != own
         ]
-        standings.append(
+        engines.append(
             SwitchState(
                 address=own,
                 failure_domain=failure_domains.get(own, ""),
@@ -67,15 +67,15 @@
                 done=False,
             )
         )
-        return may_switch(own, staged.number, standings, announced=announced, left_s=left_s)
+        return may_switch(own, staged.number, engines, announced=announced, left_s=left_s)
 
-    def _take(self, record: LoadRecord, made_s: float) -> None:
-        if made_s >= self._heard_s.get(record.address, 0.0):
+    def _update(self, record: LoadRecord, made_s: float) -> None:
+        if made_s >= self._reported_s.get(record.address, 0.0):
             self._records[record.address] = record
-            self._heard_s[record.address] = made_s
+            self._reported_s[record.address] = made_s
 
 
-def _standing(
+def _switch_state(
     record: LoadRecord, staged: StagedVersion, *, failure_domain: str, recent: bool
 ) -> SwitchState:
     done = any(
@@ -96,4 +96,4 @@
     )
 
 
-__all__ = ["EngineLoads"]
+__all__ = ["SwitchCoordinator"]
--- a/src/leadhollow/staging/switch_order.py
+++ b/src/leadhollow/staging/switch_order.py
@@ -1,8 +1,9 @@
-"""When an engine changes its weights: in as many parts as there is time for.
+"""Decides when an engine switches to a new version of its weights.
 
-The engines that stay carry the work of those that change, so the smaller a part is, the fewer
-requests are late for it. Every stager decides for itself by what engines report of themselves;
-where two see different reports, one engine more changes at the same time, which costs little.
+The engines of a service switch in as many batches as time allows. The remaining engines carry
+the load of those that switch, so smaller batches make fewer requests late. Each stager decides for
+itself from what the engines report of themselves. If two stagers see different reports, one more
+engine switches at the same time, which costs little.
 """
 
 from __future__ import annotations
@@ -11,16 +12,16 @@
 from collections.abc import Sequence
 
 SWITCH_DURATION_S = 1.3
-"""From the notice that an engine is about to change until entries know that it is back."""
+"""Time from the notice of an engine's switch until entries know that it serves again."""
 
 
 class SwitchState:
-    """How far an engine is with a version.
+    """How far an engine is with the switch to a version.
 
     Parameters
     ----------
     complete
-        Whether all pieces lie beside it.
+        Whether all pieces are staged beside it.
     switching
         Whether it is changing its weights now.
     done
@@ -46,12 +47,12 @@
 
 
 def switch_rank(host: str, number: int) -> int:
-    """Give the place of a VM in the order in which engines change to a version.
+    """Return a hash that orders the VMs whose engines switch to a version.
 
     Parameters
     ----------
     host
-        Address of the VM; a port behind it is ignored, so that every listener there counts alike.
+        Address of the VM. A port is ignored, so all listeners of a VM have the same rank.
     """
     return zlib.crc32(f"{number}/{host.partition(':')[0]}".encode())
 
@@ -64,57 +65,60 @@
     announced: bool,
     left_s: float = 0.0,
 ) -> bool:
-    """Tell whether it is the turn of our own engine.
+    """Return whether this stager's engine may switch now.
 
     Parameters
     ----------
     own
-        Address of our own engine, which is complete and has not changed.
+        Address of this stager's engine, which is complete and has not switched.
     number
-        The version; it decides the order.
-    standings
-        All engines of the service, ours included.
+        The version; it determines the order.
+    engines
+        All engines of the service, this stager's included.
     announced
-        Whether we have told the others already that our engine changes. Of several that did so at
-        the same time, those that come first in the order go on.
+        Whether the other stagers have been told that this engine switches. If several announced it
+        at the same time, the first ones in the order go on.
     left_s
-        Time until requests may not go to an engine any more that has not changed.
+        Time until requests may no longer go to an engine that has not switched.
     """
-    places = _places(number, engines)
+    positions = _positions(number, engines)
     ahead = 0
-    for standing in engines:
-        if standing.address == own or standing.done:
+    for engine in engines:
+        if engine.address == own or engine.done:
             continue
-        before_us = places[standing.address] < places[own]
-        if standing.switching:
-            ahead += 1 if before_us or not announced else 0
-        elif standing.complete and not announced:
-            ahead += 1 if before_us else 0
-    done = sum(1 for standing in engines if standing.done)
-    return ahead < batch_size(len(engines), done, left_s)
+        is_before_own = positions[engine.address] < positions[own]
+        if engine.switching:
+            ahead += 1 if is_before_own or not announced else 0
+        elif engine.complete and not announced:
+            ahead += 1 if is_before_own else 0
+    done_count = sum(1 for engine in engines if engine.done)
+    return ahead < batch_size(len(engines), done_count, left_s)
 
 
 def batch_size(engine_count: int, done_count: int, left_s: float) -> int:
-    """Give how many engines may change at a time.
+    """Return how many engines may switch at the same time.
 
-    Half of them, and more once more have changed, where there is no time for smaller parts.
+    If there is no time for smaller batches, half of the engines may, and more once more than half
+    have switched.
     """
     most = max(1, engine_count // 2, done_count)
-    parts = int(min(left_s / SWITCH_DURATION_S, engine_count))
-    return max(1, min(most, -(-(engine_count - done_count) // parts))) if parts > 1 else most
+    batches = int(min(left_s / SWITCH_DURATION_S, engine_count))
+    return max(1, min(most, -(-(engine_count - done_count) // batches))) if batches > 1 else most
 
 
-def _places(number: int, standings: Sequence[SwitchState]) -> dict[str, tuple[int, int]]:
-    """Give the order in which engines change: one of each failure domain after the other.
+def _positions(number: int, engines: Sequence[SwitchState]) -> dict[str, tuple[int, int]]:
+    """Return the position of each engine in the order, which alternates between failure domains.
 
-    Any part of them then takes as much from one domain as from another.
+    Any batch then takes about the same number of engines from each failure domain.
     """
-    places: dict[str, tuple[int, int]] = {}
-    inside: dict[str, int] = {}
-    for standing in sorted(standings, key=lambda found: switch_rank(found.address, number)):
-        place = inside[standing.failure_domain] = inside.get(standing.failure_domain, 0) + 1
-        places[standing.address] = place, switch_rank(standing.address, number)
-    return places
+    positions: dict[str, tuple[int, int]] = {}
+    domain_counts: dict[str, int] = {}
+    for engine in sorted(engines, key=lambda each: switch_rank(each.address, number)):
+        position = domain_counts[engine.failure_domain] = (
+            domain_counts.get(engine.failure_domain, 0) + 1
+        )
+        positions[engine.address] = position, switch_rank(engine.address, number)
+    return positions
 
 
-__all__ = ["CHANGE_S", "EngineStanding", "may_switch", "part_size", "turn_of"]
+__all__ = ["SWITCH_DURATION_S", "SwitchState", "batch_size", "may_switch", "switch_rank"]
--- a/tests/staging/swarm.py
+++ b/tests/staging/swarm.py
@@ -1,7 +1,8 @@
-"""Stagers that bring a version in, in virtual time: the product's exchange over emulated links.
+"""Simulates the fetch of a version by many stagers, over emulated links and in virtual time.
 
-``python -m tests.staging.swarm --seeds 3`` prints when the version is whole at how many stagers,
-how often it left the origin and how much went between regions.
+The stagers run the real exchange code. ``python -m tests.staging.swarm --seeds 3`` prints when the
+version is complete at the stagers, how many copies left the origin and how many went between
+regions.
 """
 
 from __future__ import annotations
@@ -33,15 +34,15 @@
 ORIGIN_BYTES_PER_S = 547_500.0
 REGION_BYTES_PER_S = 1_500_000.0
 ORIGIN_CONNECTIONS = 48
-WAY_S = 0.0012
-FRAME_BYTES = 60  # of a message besides its data
-ORIGIN_PART_BYTES = 6_144  # the origin's link serves its connections in turn, by as much
-REFUSED_S = 1.0  # until a connection that the origin does not take is given up
-LATEST_START_S = 0.05
+LATENCY_S = 0.0012
+FRAME_BYTES = 60  # of a message in addition to its data
+ORIGIN_TURN_BYTES = 6_144  # sent to each of the origin's connections in turn
+REFUSAL_DELAY_S = 1.0  # until a refused connection to the origin fails
+MAX_START_DELAY_S = 0.05
 
 
 class Link:
-    """A direction of a link: what is sent leaves one after the other."""
+    """One direction of a link, which sends messages one after the other."""
 
     def __init__(self, bytes_per_s: float) -> None:
         self.bytes_per_s = bytes_per_s
@@ -49,15 +50,15 @@
         self.bytes_carried = 0
 
     def carry(self, size: int) -> float:
-        """Give the time at which a message has left."""
+        """Send a message and return the time at which it has left."""
         now_s = asyncio.get_running_loop().time()
         self.free_s = max(self.free_s, now_s) + size / self.bytes_per_s
         self.bytes_carried += size
         return self.free_s
 
 
-class Net:
-    """All links."""
+class Network:
+    """All links between stagers, the origin and regions."""
 
     def __init__(self) -> None:
         self.up: dict[str, Link] = {}
@@ -66,34 +67,34 @@
         self.regions: dict[str, str] = {}
 
     def add(self, address: str, region: str, bytes_per_s: float) -> None:
-        """Add the link of a machine."""
+        """Add both directions of the link of a VM."""
         self.up[address] = Link(bytes_per_s)
         self.down[address] = Link(bytes_per_s)
         self.regions[address] = region
 
     def send(self, source: str, target: str, size: int, arrived: Callable[[], None]) -> None:
-        """Carry a message over the links on its way, one after the other."""
+        """Send a message over the links of its path, one after the other."""
         links = [self.up[source]]
-        ends = self.regions[source], self.regions[target]
-        if ends[0] != ends[1]:
-            links.append(self.between.setdefault(ends, Link(REGION_BYTES_PER_S)))
+        region_pair = self.regions[source], self.regions[target]
+        if region_pair[0] != region_pair[1]:
+            links.append(self.between.setdefault(region_pair, Link(REGION_BYTES_PER_S)))
         links.append(self.down[target])
-        self._pass(links, size + FRAME_BYTES, arrived)
+        self._forward(links, size + FRAME_BYTES, arrived)
 
-    def _pass(self, links: list[Link], size: int, arrived: Callable[[], None]) -> None:
+    def _forward(self, links: list[Link], size: int, arrived: Callable[[], None]) -> None:
         loop = asyncio.get_running_loop()
         if not links:
-            loop.call_later(WAY_S, arrived)
+            loop.call_later(LATENCY_S, arrived)
             return
-        loop.call_at(links[0].carry(size), self._pass, links[1:], size, arrived)
+        loop.call_at(links[0].carry(size), self._forward, links[1:], size, arrived)
 
     def bytes_between(self) -> int:
-        """Give what went between regions."""
+        """Return the bytes sent between regions."""
         return sum(link.bytes_carried for link in self.between.values())
 
 
 class EmulatedStream:
-    """Caller's end of a streamed answer."""
+    """Caller's end of a streamed response."""
 
     def __init__(self) -> None:
         self.queue: asyncio.Queue[Result[object, Failure]] = asyncio.Queue()
@@ -103,7 +104,7 @@
 
 
 class EmulatedSink:
-    """Server's end of one."""
+    """Server's end of a streamed response."""
 
     def __init__(self, connection: EmulatedConnection, stream: EmulatedStream) -> None:
         self.connection = connection
@@ -119,7 +120,7 @@
 
     def __init__(self, swarm: Swarm, source: str, target: Node) -> None:
         self._swarm = swarm
-        self._net = swarm.net
+        self._network = swarm.network
         self._source = source
         self._target = target
         self._tasks: set[asyncio.Task[None]] = set()
@@ -127,16 +128,16 @@
         self.backlog_bytes = 0
 
     def reply(self, size: int, arrived: Callable[[], None]) -> None:
-        """Send something back."""
-        self._net.send(self._target.stager.address, self._source, size, arrived)
+        """Send a message back to the caller."""
+        self._network.send(self._target.stager.address, self._source, size, arrived)
 
     async def call(self, body: object, *, timeout_ms: float) -> Result[object, Failure]:
         loop = asyncio.get_running_loop()
-        answer: asyncio.Future[Result[object, Failure]] = loop.create_future()
+        response: asyncio.Future[Result[object, Failure]] = loop.create_future()
 
-        def settle(result: Result[object, Failure]) -> None:
-            if not answer.done():
-                answer.set_result(result)
+        def resolve(result: Result[object, Failure]) -> None:
+            if not response.done():
+                response.set_result(result)
 
         async def serve() -> None:
             handler = self._target.handlers.call_handler(body)
@@ -146,21 +147,21 @@
 
             def arrived() -> None:
                 self.backlog_bytes -= len(data)
-                settle(result)
+                resolve(result)
 
             self.reply(len(data), arrived)
 
         target = self._target.stager.address
-        self._net.send(self._source, target, 40, lambda: self._spawn(serve()))
+        self._network.send(self._source, target, 40, lambda: self._spawn(serve()))
         try:
             async with asyncio.timeout(timeout_ms / 1000):
-                return await answer
+                return await response
         except TimeoutError:
             return Err(Failure(code=Code.PEER_TIMEOUT))
 
     def stream(self, body: object) -> EmulatedStream:
         stream = EmulatedStream()
-        self._swarm.watched += 1
+        self._swarm.follow_streams += 1
 
         async def serve() -> None:
             handler = self._target.handlers.stream_handler(body)
@@ -168,7 +169,7 @@
             stream.queue.put_nowait(Ok(None))
 
         target = self._target.stager.address
-        self._net.send(self._source, target, 40, lambda: self._spawn(serve()))
+        self._network.send(self._source, target, 40, lambda: self._spawn(serve()))
         return stream
 
     def _spawn(self, work) -> None:
@@ -187,53 +188,53 @@
 
     async def connection(self, address: str) -> Result[EmulatedConnection, Failure]:
         if address not in self._connections:
-            await asyncio.sleep(2 * WAY_S)
+            await asyncio.sleep(2 * LATENCY_S)
             node = self._swarm.nodes[address]
             self._connections[address] = EmulatedConnection(self._swarm, self._own, node)
         return Ok(self._connections[address])
 
 
 class EmulatedOrigin:
-    """An origin with a narrow link and few connections."""
+    """An origin with a slow link and few connections."""
 
     ADDRESS = "origin"
 
-    def __init__(self, net: Net, pieces: list[bytes], region: str) -> None:
-        net.add(self.ADDRESS, region, ORIGIN_BYTES_PER_S)
-        self._net = net
+    def __init__(self, network: Network, pieces: list[bytes], region: str) -> None:
+        network.add(self.ADDRESS, region, ORIGIN_BYTES_PER_S)
+        self._network = network
         self._pieces = pieces
         self.connections = 0
-        self.most_connections = 0
+        self.max_connections = 0
         self.asked: list[int] = []
         self.refused = 0
 
     @property
     def sent(self) -> int:
-        """Pieces that were sent."""
+        """Number of pieces sent."""
         return len(self.asked)
 
     async def read(self, reader: str, index: int) -> bytes | None:
-        """Send a piece, a part after the other."""
+        """Send a piece in parts; None if all connections are taken."""
         if self.connections >= ORIGIN_CONNECTIONS:
             self.refused += 1
-            await asyncio.sleep(REFUSED_S)
+            await asyncio.sleep(REFUSAL_DELAY_S)
             return None
         self.connections += 1
-        self.most_connections = max(self.most_connections, self.connections)
+        self.max_connections = max(self.max_connections, self.connections)
         try:
-            await asyncio.sleep(4 * WAY_S)
-            for _ in range(PIECE_BYTES // ORIGIN_PART_BYTES):
-                came = asyncio.Event()
-                self._net.send(self.ADDRESS, reader, ORIGIN_PART_BYTES, came.set)
-                await came.wait()
+            await asyncio.sleep(4 * LATENCY_S)
+            for _ in range(PIECE_BYTES // ORIGIN_TURN_BYTES):
+                received = asyncio.Event()
+                self._network.send(self.ADDRESS, reader, ORIGIN_TURN_BYTES, received.set)
+                await received.wait()
         finally:
             self.connections -= 1
         self.asked.append(index)
         return self._pieces[index]
 
 
-class ReadsOrigin(OriginSource):
-    """What a stager has of the origin."""
+class EmulatedOriginSource(OriginSource):
+    """A stager's client of the emulated origin."""
 
     __slots__ = ("_origin", "_reader")
 
@@ -254,7 +255,7 @@
     Parameters
     ----------
     squeezed
-        Whether its link is narrowed to a tenth while the first seconds pass.
+        Whether its link is narrowed to a tenth during the first seconds.
     """
 
     def __init__(self, swarm: Swarm, stager: Stager, *, squeezed: bool, seed: int) -> None:
@@ -264,31 +265,31 @@
         self.store = PieceStore()
         self.complete_s: float | None = None
         self._swarm = swarm
-        share = self._share
+        link_share = self._link_share
         self.pieces = PieceServer(
             store=self.store,
             handlers=self.handlers,
-            link_bytes_per_s=lambda: STAGER_BYTES_PER_S * share(),
+            link_bytes_per_s=lambda: STAGER_BYTES_PER_S * link_share(),
             failure_domain=stager.failure_domain,
         )
-        opened = self.store.find_or_create(swarm.version)
-        assert opened is not None
-        self.staged: StagedVersion = opened
+        staged = self.store.find_or_create(swarm.version)
+        assert staged is not None
+        self.staged: StagedVersion = staged
         self.fetch = PieceFetch(
-            version=opened,
+            version=staged,
             own=stager,
-            others=lambda: [one for one in swarm.stagers if one != stager],
-            origin=ReadsOrigin(swarm.origin, stager.address),
+            others=lambda: [other for other in swarm.stagers if other != stager],
+            origin=EmulatedOriginSource(swarm.origin, stager.address),
             peers=EmulatedPeers(swarm, stager.address),  # type: ignore[arg-type]
-            link_bytes_per_s=lambda: STAGER_BYTES_PER_S * share(),
+            link_bytes_per_s=lambda: STAGER_BYTES_PER_S * link_share(),
             origin_bytes_per_s=lambda: swarm.origin_bytes_per_s,
-            window=PieceWindow(link_share=share),
+            window=PieceWindow(link_share=link_share),
             seed=seed,
         )
 
-    def _share(self) -> float:
-        """Give what the gauge of its link would say."""
-        if not self.squeezed or self._swarm.relieved:
+    def _link_share(self) -> float:
+        """Return the share that a link monitor would determine."""
+        if not self.squeezed or self._swarm.links_restored:
             return 1.0
         return 0.1
 
@@ -311,36 +312,39 @@
         pieces: int = PIECES,
         origin_says_speed: bool = True,
     ) -> None:
-        source = random.Random(seed)
-        data = [source.randbytes(PIECE_BYTES) for _ in range(pieces)]
+        rng = random.Random(seed)
+        data = [rng.randbytes(PIECE_BYTES) for _ in range(pieces)]
         self.origin_bytes_per_s = ORIGIN_BYTES_PER_S if origin_says_speed else 0.0
-        self.watched = 0  # streams by which stagers follow each other
+        self.follow_streams = 0  # number of streams over which stagers follow each other
         digests = b"".join(hashlib.sha256(piece).digest() for piece in data)
         manifest = PieceManifest(
             algorithm="sha256", chunk_bytes=PIECE_BYTES, layers=16, digests=digests
         )
         self.version = NamedVersion(model="m", number=seed + 2, named=True, manifest=manifest)
-        self.net = Net()
-        self.origin = EmulatedOrigin(self.net, data, "d1")
-        self.relieved = False
+        self.network = Network()
+        self.origin = EmulatedOrigin(self.network, data, "d1")
+        self.links_restored = False
         self.stagers = [
             Stager(
-                address=f"10.0.{place % domains}.{place}:7000", failure_domain=f"d{place % domains}"
+                address=f"10.0.{position % domains}.{position}:7000",
+                failure_domain=f"d{position % domains}",
             )
-            for place in range(domains * per_domain)
+            for position in range(domains * per_domain)
         ]
-        slow = set(source.sample(range(len(self.stagers)), squeezed))
+        slow_positions = set(rng.sample(range(len(self.stagers)), squeezed))
         self.nodes: dict[str, Node] = {}
-        for place, stager in enumerate(self.stagers):
-            speed = STAGER_BYTES_PER_S * (0.09 if place in slow else 1.0)
-            self.net.add(stager.address, stager.failure_domain, speed)
-            self.nodes[stager.address] = Node(self, stager, squeezed=place in slow, seed=place)
-        self._source = source
+        for position, stager in enumerate(self.stagers):
+            speed = STAGER_BYTES_PER_S * (0.09 if position in slow_positions else 1.0)
+            self.network.add(stager.address, stager.failure_domain, speed)
+            self.nodes[stager.address] = Node(
+                self, stager, squeezed=position in slow_positions, seed=position
+            )
+        self._rng = rng
 
-    async def run(self, until_s: float, *, relieve_s: float = 5.0) -> None:
-        """Let all fetch for a time; narrowed links are as they were after another one."""
+    async def run(self, until_s: float, *, restore_s: float = 5.0) -> None:
+        """Let all stagers fetch until ``until_s``; narrowed links are restored at ``restore_s``."""
         loop = asyncio.get_running_loop()
-        loop.call_later(relieve_s, self._relieve)
+        loop.call_later(restore_s, self._restore_links)
         self.began_s = loop.time()
         tasks = []
         for node in self.nodes.values():
@@ -359,28 +363,28 @@
         await asyncio.gather(*left, return_exceptions=True)
 
     async def _start(self, node: Node) -> None:
-        await asyncio.sleep(self._source.uniform(0, LATEST_START_S))
+        await asyncio.sleep(self._rng.uniform(0, MAX_START_DELAY_S))
         await node.run()
 
-    def _relieve(self) -> None:
-        self.relieved = True
+    def _restore_links(self) -> None:
+        self.links_restored = True
         for node in self.nodes.values():
-            for links in (self.net.up, self.net.down):
+            for links in (self.network.up, self.network.down):
                 links[node.stager.address].bytes_per_s = STAGER_BYTES_PER_S
 
     def complete_s(self) -> list[float]:
-        """Give after how long the version was whole at each stager, in order."""
+        """Return how long each stager needed to complete the version, sorted."""
         times = [node.complete_s for node in self.nodes.values()]
         return sorted(float("inf") if moment is None else moment - self.began_s for moment in times)
 
 
-def play(*, until_s: float = 25.0, **given: int) -> Swarm:
-    """Play one swarm in virtual time."""
+def play(*, until_s: float = 25.0, **options: int) -> Swarm:
+    """Run one swarm in virtual time."""
     loop = VirtualLoop()
     try:
 
         async def run() -> Swarm:
-            swarm = Swarm(**given)
+            swarm = Swarm(**options)
             await swarm.run(until_s)
             return swarm
 
@@ -390,23 +394,23 @@
 
 
 def figures(swarm: Swarm) -> dict[str, object]:
-    """Give what a run came to."""
+    """Return the figures of a run."""
     times = swarm.complete_s()
-    whole = PIECES * PIECE_BYTES
+    version_bytes = PIECES * PIECE_BYTES
     return {
         "first_s": round(times[0], 2),
         "half_s": round(times[len(times) // 2], 2),
         "nine_tenths_s": round(times[len(times) * 9 // 10], 2),
         "last_s": round(times[-1], 2),
         "origin_copies": round(swarm.origin.sent / PIECES, 2),
-        "origin_connections": swarm.origin.most_connections,
+        "origin_connections": swarm.origin.max_connections,
         "refused": swarm.origin.refused,
-        "between_regions_copies": round(swarm.net.bytes_between() / whole, 2),
+        "between_regions_copies": round(swarm.network.bytes_between() / version_bytes, 2),
     }
 
 
 def main() -> None:
-    """Print one line a run."""
+    """Print one line for each run."""
     parser = argparse.ArgumentParser(description="Play swarms in virtual time.")
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--squeezed", type=int, default=0)
--- a/tests/staging/test_engine_monitor.py
+++ b/tests/staging/test_engine_monitor.py
@@ -1,4 +1,4 @@
-"""What a stager tells control of its engine beside its load."""
+"""Tests of what a stager reports to control about its engine besides the load."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 ADDRESS = "10.0.0.1:80"
 
 
-class Engine:
+class FakeEngine:
     def __init__(self) -> None:
         self.leaving = False
-        self.rests_forgotten = 0
+        self.backoffs_cleared = 0
 
     def clear_backoff(self) -> None:
-        self.rests_forgotten += 1
+        self.backoffs_cleared += 1
 
     async def report(self):
         return Ok(
@@ -40,7 +40,7 @@
         )
 
 
-class Peers:
+class RecordingPeers:
     def __init__(self) -> None:
         self.sent: list[object] = []
 
@@ -51,7 +51,7 @@
         self.sent.append(body)
 
 
-class Feed:
+class FakeFeed:
     source = "control"
 
     def __init__(self) -> None:
@@ -60,8 +60,8 @@
 
 class Bench:
     def __init__(self) -> None:
-        self.engine, self.peers, self.feed = Engine(), Peers(), Feed()
-        self.watch = EngineMonitor(
+        self.engine, self.peers, self.feed = FakeEngine(), RecordingPeers(), FakeFeed()
+        self.monitor = EngineMonitor(
             address=ADDRESS,
             engine=self.engine,
             feed=self.feed,
@@ -70,7 +70,7 @@
             report_interval_s=lambda: 1.0,
         )
 
-    def announce(self, born_ms: int) -> None:
+    def list_engine(self, born_ms: int) -> None:
         instance = Instance(
             instance="i-1",
             service="s",
@@ -85,35 +85,35 @@
         )
         self.feed.table.merge(instance)
 
-    async def told(self) -> list[type]:
+    async def publish_types(self) -> list[type]:
         self.peers.sent.clear()
-        await self.watch.refresh()
-        await self.watch.publish()
+        await self.monitor.refresh()
+        await self.monitor.publish()
         return [type(body) for body in self.peers.sent]
 
 
-class TestEngineThatLeaves:
-    # Guards against: nobody hears that an engine leaves which gets no requests.
-    async def test_is_told_of_by_its_name(self):
+class TestLeavingEngine:
+    # Guards against: nobody learns that an engine leaves if it gets no requests.
+    async def test_is_reported_as_leaving_by_its_life(self):
         bench = Bench()
-        bench.announce(born_ms=7)
-        assert await bench.told() == [LoadReport]
+        bench.list_engine(born_ms=7)
+        assert await bench.publish_types() == [LoadReport]
         bench.engine.leaving = True
-        assert await bench.told() == [LoadReport, ServerWords]
-        [word] = bench.peers.sent[1].words
-        assert (word.life, word.leaving) == ("i-1@7", True)
+        assert await bench.publish_types() == [LoadReport, ServerWords]
+        [leaving_report] = bench.peers.sent[1].words
+        assert (leaving_report.life, leaving_report.leaving) == ("i-1@7", True)
 
-    async def test_is_not_told_of_as_another_life(self):
+    async def test_is_not_reported_under_another_life(self):
         bench = Bench()
-        bench.announce(born_ms=6)
+        bench.list_engine(born_ms=6)
         bench.engine.leaving = True
-        assert await bench.told() == [LoadReport]
+        assert await bench.publish_types() == [LoadReport]
 
 
-class TestLife:
-    async def test_that_is_new_inherits_no_rest(self):
+class TestRestartedEngine:
+    async def test_clears_the_back_off_for_each_new_life(self):
         bench = Bench()
         for born_ms in (7, 7, 8):
-            bench.announce(born_ms=born_ms)
-            await bench.told()
-        assert bench.engine.rests_forgotten == 2
+            bench.list_engine(born_ms=born_ms)
+            await bench.publish_types()
+        assert bench.engine.backoffs_cleared == 2
--- a/tests/staging/test_installer.py
+++ b/tests/staging/test_installer.py
@@ -1,4 +1,4 @@
-"""What a stager does with its engine once it holds a version: lay, check, order."""
+"""Tests of how a stager brings a version to its engine: stage, verify, order the load."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from leadhollow.state.catalog import Catalog
 from leadhollow.state.records import CatalogItem
 from leadhollow.weights.named_versions import NamedVersion, weights_key
-from tests.staging.test_parts import PIECES, manifest
+from tests.staging.test_staging_units import PIECES, manifest
 from tests.support import eventually
 
 LAYERS = 4
@@ -25,7 +25,7 @@
 
 
 class FakeEngine:
-    """An engine with a stage; an order is in effect at once."""
+    """An engine with a stage; an order takes effect at once."""
 
     def __init__(self) -> None:
         self.stage: dict[int, bytes] = {}
@@ -35,7 +35,7 @@
         self.ordered_s = 0.0
         self.leaving = False
         self.busy_until_s = 0.0  # loop time until which requests are in progress
-        self.spoilt: set[int] = set()  # pieces that turn bad once after they were laid
+        self.damaged_once: set[int] = set()  # pieces whose first staging damages them
 
     def report_now(self) -> EngineReport:
         return EngineReport(
@@ -53,16 +53,16 @@
     async def list_staged(self, model):
         return Ok(list(self.stage))
 
-    async def get(self, model, index):
+    async def read_staged_piece(self, model, index):
         return Ok(self.stage.get(index, b""))
 
     async def stage_piece(self, model, index, data):
         self.puts.append(index)
-        self.stage[index] = b"bad" if index in self.spoilt else data
-        self.spoilt.discard(index)
+        self.stage[index] = b"bad" if index in self.damaged_once else data
+        self.damaged_once.discard(index)
         return Ok(None)
 
-    async def order(self, order):
+    async def order_load(self, order):
         self.orders.append(order)
         self.ordered_s = asyncio.get_running_loop().time()
         self.served = (
@@ -73,17 +73,17 @@
         return Ok(None)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing; there are no connections."""
 
 
-class FakeWatch:
-    """Reports of the fake engine, and what the others were told."""
+class FakeMonitor:
+    """Reports the state of the fake engine and records what is published."""
 
     def __init__(self, engine: FakeEngine) -> None:
         self._engine = engine
         self.switching = False
-        self.staged: Callable[[], tuple[int, int]] = lambda: (0, 0)
-        self.told_switching_s: list[float] = []
+        self.staged_progress: Callable[[], tuple[int, int]] = lambda: (0, 0)
+        self.switch_published_s: list[float] = []
 
     @property
     def report(self) -> EngineReport:
@@ -94,11 +94,11 @@
 
     async def publish(self) -> None:
         if self.switching:
-            self.told_switching_s.append(asyncio.get_running_loop().time())
+            self.switch_published_s.append(asyncio.get_running_loop().time())
 
 
 class FakeFetch:
-    """Brings all pieces at once."""
+    """Adds all pieces at once."""
 
     def __init__(self, version: StagedVersion) -> None:
         self.version = version
@@ -112,7 +112,7 @@
 
 
 class StalledFetch(FakeFetch):
-    """Brings nothing: the origin is away."""
+    """Adds no piece, as if the origin were unavailable."""
 
     async def run(self) -> None:
         await asyncio.Event().wait()
@@ -122,13 +122,13 @@
 
 
 class FailingFetch(FakeFetch):
-    """Ends with an error before anything has come."""
+    """Fails before any piece has arrived."""
 
     async def run(self) -> None:
         raise OSError
 
 
-class Bench:
+class InstallerBench:
     """An installer with its fakes."""
 
     def __init__(
@@ -137,28 +137,28 @@
         served: tuple[ServedVersion, ...] = (),
         staged: bool = False,
         version_s: float = BOUND_S,
-        absent: tuple[int, ...] = (),
+        unavailable: tuple[int, ...] = (),
         failures: int = 0,
     ) -> None:
         self.failures = failures  # fetches that fail before one succeeds
-        self.absent = absent  # versions that cannot be had
+        self.unavailable = unavailable  # versions that cannot be fetched
         self.engine = FakeEngine()
         self.engine.served = served
         if staged:
             self.engine.stage = dict(enumerate(PIECES))
-        self.watch = FakeWatch(self.engine)
+        self.monitor = FakeMonitor(self.engine)
         self.catalog = Catalog()
-        self.times = NamingTimes(clock=asyncio.get_running_loop().time)
+        self.naming_times = NamingTimes(clock=asyncio.get_running_loop().time)
         self.fetched: list[StagedVersion] = []
         self.installer = Installer(
             catalog=self.catalog,
             engine=self.engine,
-            monitor=self.watch,
+            monitor=self.monitor,
             store=PieceStore(),
             models=lambda: ["m"],
             start_fetch=self._start_fetch,
             first_start=False,
-            naming_times=self.times,
+            naming_times=self.naming_times,
             version_s=version_s,
             may_switch=lambda staged, announced, left_s: True,
             piece_s=lambda staged: 0.01,
@@ -169,15 +169,15 @@
         self.fetched.append(version)
         if len(self.fetched) <= self.failures:
             return FailingFetch(version)
-        return StalledFetch(version) if version.number in self.absent else FakeFetch(version)
+        return StalledFetch(version) if version.number in self.unavailable else FakeFetch(version)
 
     def name(self, number: int) -> None:
         version = NamedVersion(model="m", number=number, named=True, manifest=manifest())
         item = CatalogItem(key=weights_key("m", number), revision=number, value=version)
         self.catalog.apply([item], revision=number)
 
-    async def until_ordered(self) -> float:
-        """Give the time from now until the order."""
+    async def run_until_ordered(self) -> float:
+        """Run the installer until its order and return the time that it took."""
         began_s = asyncio.get_running_loop().time()
         await self.installer.start()
         await eventually(lambda: self.engine.orders, "an order")
@@ -185,108 +185,110 @@
         return self.engine.ordered_s - began_s
 
 
-def in_loop(work: Callable[[], Awaitable[None]]) -> None:
+def run_with_timeout(work: Callable[[], Awaitable[None]]) -> None:
     asyncio.run(asyncio.wait_for(work(), 10))
 
 
-def holding(number: int) -> tuple[ServedVersion, ...]:
+def serving(number: int) -> tuple[ServedVersion, ...]:
     return (ServedVersion(model="m", version=number, first_layer=0, end_layer=LAYERS),)
 
 
 class TestRequestsInProgress:
-    # Guards against: a change of weights breaks off the streams of an engine that are about to end.
-    def test_end_before_the_engine_loads(self):
+    # Guards against: a switch aborts streams of the engine that are about to finish.
+    def test_finish_before_the_engine_loads(self):
         async def work() -> None:
-            bench = Bench(served=holding(1), staged=True)
+            bench = InstallerBench(served=serving(1), staged=True)
             bench.engine.busy_until_s = asyncio.get_running_loop().time() + 2.0
             bench.name(2)
-            await bench.until_ordered()
+            await bench.run_until_ordered()
             assert bench.engine.ordered_s >= bench.engine.busy_until_s
 
-        in_loop(work)
+        run_with_timeout(work)
 
-    def test_are_not_waited_for_for_ever(self):
+    def test_delay_the_order_by_the_drain_timeout_at_most(self):
         async def work() -> None:
-            bench = Bench(served=holding(1), staged=True)
+            bench = InstallerBench(served=serving(1), staged=True)
             bench.engine.busy_until_s = float("inf")
             bench.name(2)
-            assert await bench.until_ordered() < SWITCH_NOTICE_S + DRAIN_TIMEOUT_S + 1.0
+            assert await bench.run_until_ordered() < SWITCH_NOTICE_S + DRAIN_TIMEOUT_S + 1.0
 
-        in_loop(work)
+        run_with_timeout(work)
 
 
-class TestNotice:
-    def test_an_engine_that_serves_nothing_is_ordered_without_one(self):
+class TestSwitchNotice:
+    def test_is_skipped_for_an_engine_that_serves_nothing(self):
         async def work() -> None:
-            bench = Bench(staged=True)
+            bench = InstallerBench(staged=True)
             bench.name(1)
-            assert await bench.until_ordered() < SWITCH_NOTICE_S
+            assert await bench.run_until_ordered() < SWITCH_NOTICE_S
 
-        in_loop(work)
+        run_with_timeout(work)
 
-    def test_entries_hear_before_an_engine_that_serves_is_ordered(self):
+    def test_precedes_the_order_to_an_engine_that_serves(self):
         async def work() -> None:
-            bench = Bench(served=holding(1))
+            bench = InstallerBench(served=serving(1))
             bench.name(2)
-            await bench.until_ordered()
-            assert bench.engine.ordered_s - bench.watch.told_switching_s[0] >= SWITCH_NOTICE_S
+            await bench.run_until_ordered()
+            assert bench.engine.ordered_s - bench.monitor.switch_published_s[0] >= SWITCH_NOTICE_S
 
-        in_loop(work)
+        run_with_timeout(work)
 
 
 class TestStage:
-    def test_what_was_read_back_from_it_is_not_laid_again(self):
+    def test_recovered_pieces_are_not_staged_again(self):
         async def work() -> None:
-            bench = Bench(staged=True)
+            bench = InstallerBench(staged=True)
             bench.name(1)
-            await bench.until_ordered()
+            await bench.run_until_ordered()
             assert bench.fetched == []
             assert bench.engine.puts == []
 
-        in_loop(work)
+        run_with_timeout(work)
 
-    def test_a_piece_that_turned_bad_is_laid_again(self):
+    def test_a_damaged_piece_is_staged_again(self):
         async def work() -> None:
-            bench = Bench(served=holding(1))
+            bench = InstallerBench(served=serving(1))
             bench.name(2)
-            bench.engine.spoilt = {5}
-            await bench.until_ordered()
+            bench.engine.damaged_once = {5}
+            await bench.run_until_ordered()
             assert bench.engine.stage[5] == PIECES[5]
 
-        in_loop(work)
+        run_with_timeout(work)
 
 
 class TestFetch:
-    def test_one_that_fails_is_begun_anew(self):
+    def test_is_restarted_after_a_failure(self):
         async def work() -> None:
-            bench = Bench(failures=2)
+            bench = InstallerBench(failures=2)
             bench.name(1)
-            await bench.until_ordered()
+            await bench.run_until_ordered()
             assert [order.version for order in bench.engine.orders] == [1]
             assert len(bench.fetched) == 3
 
-        in_loop(work)
+        run_with_timeout(work)
 
 
-class TestTwoVersionsInARow:
-    def test_the_one_before_is_installed_while_the_origin_of_the_newest_is_away(self):
+class TestConsecutiveVersions:
+    def test_the_previous_one_is_installed_while_the_newest_is_unavailable(self):
         async def work() -> None:
-            bench = Bench(served=holding(1), version_s=SWITCH_LEAD_S + 0.3, absent=(3,))
+            bench = InstallerBench(
+                served=serving(1), version_s=SWITCH_LEAD_S + 0.3, unavailable=(3,)
+            )
             for number in (2, 3):
-                bench.times.record("m", number)
+                bench.naming_times.record("m", number)
                 bench.name(number)
-            await bench.until_ordered()
+            await bench.run_until_ordered()
             assert [order.version for order in bench.engine.orders] == [2]
-            assert [found.number for found in bench.fetched] == [3, 2]
+            assert [version.number for version in bench.fetched] == [3, 2]
 
-        in_loop(work)
+        run_with_timeout(work)
 
 
-class TestEngineThatLeaves:
-    # Guards against: pieces and an order for an engine that is about to end.
+class TestLeavingEngine:
+    # Guards against: an engine that is about to end gets pieces and an order.
     def test_gets_neither_pieces_nor_orders(self):
         async def work() -> None:
-            bench = Bench()
+            bench = InstallerBench()
             bench.engine.leaving = True
             bench.name(1)
             await bench.installer.start()
@@ -296,4 +298,4 @@
             await eventually(lambda: bench.engine.orders, "an order")
             await bench.installer.stop()
 
-        in_loop(work)
+        run_with_timeout(work)
--- a/tests/staging/test_large_fleet.py
+++ b/tests/staging/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Pieces among a hundred stagers of five failure domains: whom each follows, and who reads what."""
+"""Tests of piece assignment and announcements in fleets of up to 302 stagers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 VERSION_PIECES = 96
 DOMAINS = 5
 SIZES = (31, 102, 302)
-MOST_FOLLOWED_OUTSIDE = 24
+MAX_FOLLOWED_REMOTE = 24
 
 
 def stagers(count: int) -> list[Stager]:
@@ -30,83 +30,94 @@
     ]
 
 
-def followed(sharing: PieceAssignment, own: Stager, *, places: int = 1) -> set[str]:
-    return sharing.stagers_to_follow(own, piece_count=VERSION_PIECES, max_rank=places)
+def followed_by(assignment: PieceAssignment, own: Stager, *, max_rank: int = 1) -> set[str]:
+    return assignment.stagers_to_follow(own, piece_count=VERSION_PIECES, max_rank=max_rank)
 
 
-class TestFollowed:
+class TestStagersToFollow:
     @pytest.mark.parametrize("count", SIZES)
-    def test_are_few_outside_the_own_domain_however_many_there_are(self, count):
-        everybody = stagers(count)
-        sharing = PieceAssignment(number=3, stagers=everybody)
-        most = max(len(followed(sharing, own)) for own in everybody)
-        assert most <= (MOST_FOLLOWED_OUTSIDE if count >= 100 else count)
+    def test_remote_ones_are_few_at_any_fleet_size(self, count):
+        all_stagers = stagers(count)
+        assignment = PieceAssignment(number=3, stagers=all_stagers)
+        max_followed = max(len(followed_by(assignment, own)) for own in all_stagers)
+        assert max_followed <= (MAX_FOLLOWED_REMOTE if count >= 100 else count)
 
     @pytest.mark.parametrize("count", SIZES)
-    def test_hold_what_one_is_to_bring_in(self, count):
-        everybody = stagers(count)
-        sharing = PieceAssignment(number=3, stagers=everybody)
-        for own in everybody:
-            known = followed(sharing, own)
+    def test_include_the_readers_of_pieces_to_import(self, count):
+        all_stagers = stagers(count)
+        assignment = PieceAssignment(number=3, stagers=all_stagers)
+        for own in all_stagers:
+            known = followed_by(assignment, own)
             for index in range(VERSION_PIECES):
-                reader = sharing.origin_reader(index)
+                reader = assignment.origin_reader(index)
                 if reader.failure_domain != own.failure_domain:
-                    assert sharing.importer_rank(index, own) > 1 or reader.address in known
-
-    def test_grow_with_the_places_that_have_had_their_turn(self):
-        everybody = stagers(102)
-        sharing = PieceAssignment(number=3, stagers=everybody)
-        sizes = [len(followed(sharing, everybody[0], places=places)) for places in (1, 4, 20)]
+                    assert assignment.importer_rank(index, own) > 1 or reader.address in known
+
+    def test_grow_with_the_importer_rank(self):
+        all_stagers = stagers(102)
+        assignment = PieceAssignment(number=3, stagers=all_stagers)
+        sizes = [
+            len(followed_by(assignment, all_stagers[0], max_rank=max_rank))
+            for max_rank in (1, 4, 20)
+        ]
         assert sizes == sorted(sizes)
         assert sizes[-1] > sizes[0]
 
-    def test_in_a_small_fleet_are_all(self):
-        everybody = stagers(10)
-        sharing = PieceAssignment(number=3, stagers=everybody)
-        own = everybody[0]
-        outside = {one.address for one in everybody if one.failure_domain != own.failure_domain}
-        assert followed(sharing, own) == outside
+    def test_are_all_remote_stagers_in_a_small_fleet(self):
+        all_stagers = stagers(10)
+        assignment = PieceAssignment(number=3, stagers=all_stagers)
+        own = all_stagers[0]
+        remote_addresses = {
+            other.address for other in all_stagers if other.failure_domain != own.failure_domain
+        }
+        assert followed_by(assignment, own) == remote_addresses
 
 
-class TestALostStager:
+class TestUnreachableStager:
     @pytest.mark.parametrize("count", SIZES)
-    def test_is_followed_by_all_who_read_its_pieces(self, count):
-        everybody = stagers(count)
-        whole = PieceAssignment(number=3, stagers=everybody)
-        for lost in everybody[:20]:
-            without = PieceAssignment(number=3, stagers=everybody, unreachable={lost.address})
+    def test_is_followed_by_all_successors_that_read_its_pieces(self, count):
+        all_stagers = stagers(count)
+        full_assignment = PieceAssignment(number=3, stagers=all_stagers)
+        for lost in all_stagers[:20]:
+            reduced_assignment = PieceAssignment(
+                number=3, stagers=all_stagers, unreachable={lost.address}
+            )
             for index in range(VERSION_PIECES):
-                if whole.origin_reader(index) != lost:
-                    assert without.origin_reader(index) == whole.origin_reader(index)
+                if full_assignment.origin_reader(index) != lost:
+                    assert reduced_assignment.origin_reader(index) == full_assignment.origin_reader(
+                        index
+                    )
                     continue
-                heir = without.origin_reader(index)
-                assert heir != lost
-                near = heir.failure_domain == lost.failure_domain
-                assert near or lost.address in followed(whole, heir)
-
-    def test_leaves_its_pieces_to_several_in_a_small_fleet(self):
-        everybody = stagers(6)
-        sharing = PieceAssignment(number=3, stagers=everybody, unreachable={everybody[0].address})
-        reads = Counter(sharing.origin_reader(index).address for index in range(VERSION_PIECES))
-        assert everybody[0].address not in reads
+                successor = reduced_assignment.origin_reader(index)
+                assert successor != lost
+                local = successor.failure_domain == lost.failure_domain
+                assert local or lost.address in followed_by(full_assignment, successor)
+
+    def test_has_several_successors_in_a_small_fleet(self):
+        all_stagers = stagers(6)
+        assignment = PieceAssignment(
+            number=3, stagers=all_stagers, unreachable={all_stagers[0].address}
+        )
+        reads = Counter(assignment.origin_reader(index).address for index in range(VERSION_PIECES))
+        assert all_stagers[0].address not in reads
         assert max(reads.values()) <= VERSION_PIECES / 6 * (1 + 1 / SUCCESSOR_COUNT) + 1
 
     @pytest.mark.parametrize("count", [6, 31, 102])
-    def test_leaves_one_place_to_each_of_the_others(self, count):
-        everybody = stagers(count)
-        lost = {stager.address for stager in everybody[::5]}
-        rest = [stager for stager in everybody if stager.address not in lost]
-        sharing = PieceAssignment(number=3, stagers=everybody, unreachable=lost)
+    def test_reader_ranks_of_the_others_are_distinct(self, count):
+        all_stagers = stagers(count)
+        lost = {stager.address for stager in all_stagers[::5]}
+        others = [stager for stager in all_stagers if stager.address not in lost]
+        assignment = PieceAssignment(number=3, stagers=all_stagers, unreachable=lost)
         for index in range(VERSION_PIECES):
-            places = [sharing.reader_rank(index, stager) for stager in rest]
-            assert sorted(places) == list(range(len(rest)))
-            assert sharing.reader_rank(index, sharing.origin_reader(index)) == 0
+            ranks = [assignment.reader_rank(index, stager) for stager in others]
+            assert sorted(ranks) == list(range(len(others)))
+            assert assignment.reader_rank(index, assignment.origin_reader(index)) == 0
 
 
-class TestAWholeFleet:
-    """Thirty stagers in virtual time: on real sockets a starved process makes all step in."""
+class TestWholeFleet:
+    """Thirty stagers in virtual time; on real sockets a starved process causes takeovers by all."""
 
-    def test_reads_each_piece_once_and_tells_it_to_few(self):
+    def test_reads_each_piece_about_once_and_follows_few_stagers(self):
         pieces, nodes = 8, 30
         swarm = play(
             seed=0,
@@ -117,14 +128,14 @@
         )
         assert all(node.staged.complete for node in swarm.nodes.values())
         assert sorted(set(swarm.origin.asked)) == list(range(pieces))
-        assert swarm.origin.sent <= 2 * pieces  # others may step in for one that is slow
-        assert swarm.watched < nodes * (nodes - 1) / 2
+        assert swarm.origin.sent <= 2 * pieces  # others may take over from a slow stager
+        assert swarm.follow_streams < nodes * (nodes - 1) / 2
 
 
-class TestNews:
-    def test_in_a_small_fleet_are_told_at_once(self):
+class TestAnnounceInterval:
+    def test_is_the_minimum_in_a_small_fleet(self):
         assert announce_interval_s(9) == MIN_ANNOUNCE_INTERVAL_S
 
     @pytest.mark.parametrize("watchers", [16, 44, 101, 300])
-    def test_cost_a_stager_no_more_the_more_follow_it(self, watchers):
+    def test_bounds_the_announcements_of_a_stager_for_any_number_of_followers(self, watchers):
         assert watchers / announce_interval_s(watchers) <= MAX_ANNOUNCEMENTS_PER_S
--- a/tests/staging/test_origin_load.py
+++ b/tests/staging/test_origin_load.py
@@ -1,4 +1,4 @@
-"""Forty-five stagers that read a version from an origin with a narrow link and few connections."""
+"""Simulates 45 stagers that read from an origin with a slow link and few connections."""
 
 from __future__ import annotations
 
@@ -14,50 +14,54 @@
 ORIGIN_BYTES_PER_S = 547_500.0
 LINK_BYTES_PER_S = 456_250.0
 ORIGIN_CONNECTIONS = 48
-WHOLE_S = PIECES * PIECE_BYTES / ORIGIN_BYTES_PER_S
+ORIGIN_LINK_S = PIECES * PIECE_BYTES / ORIGIN_BYTES_PER_S
 STEP_S = 0.02
-LOOK_STEPS = 3  # between two looks of a stager
-NEWS_S = 0.2  # until the others know of a piece that was read
-AWAY_FOR_S = 1.0  # what a stager needs to find out that the origin does not answer
+UPDATE_STEPS = 3  # steps between two updates of a stager
+ANNOUNCE_DELAY_S = 0.2  # until the others know that a piece was read
+FAILURE_DETECTION_S = 1.0  # until a stager notices that the origin does not answer
 STAGERS = [
     Stager(address=f"10.0.{number % 3}.{number}:7000", failure_domain=f"d{number % 3}")
     for number in range(45)
 ]
 
 
-class NarrowOrigin:
-    """An origin that shares its link among those that read; time goes in steps.
+class SimulatedOrigin:
+    """An origin that divides its link among its readers, simulated in time steps.
 
-    Each stager reads one piece at a time. What was read is known to all after ``NEWS_S``.
+    Each stager reads one piece at a time. All know of a read piece after ``ANNOUNCE_DELAY_S``.
     """
 
-    def __init__(self, *, silent: frozenset[str] = frozenset()) -> None:
-        patience = TakeoverDelays(
+    def __init__(self, *, inactive: frozenset[str] = frozenset()) -> None:
+        delays = TakeoverDelays(
             piece_bytes=PIECE_BYTES,
             origin_bytes_per_s=lambda: ORIGIN_BYTES_PER_S,
             link_bytes_per_s=lambda: LINK_BYTES_PER_S,
         )
-        self.choices = {
-            own.address: SourceSelector(own=own, number=3, seed=1, delays=patience)
-            for own in STAGERS
+        self.selectors = {
+            own.address: SourceSelector(own=own, number=3, seed=1, delays=delays) for own in STAGERS
         }
-        self.silent = silent
-        self.reading: dict[str, tuple[int, float]] = {}  # by stager: piece, bytes left
-        self.failing: dict[str, float] = {}  # by stager: when it finds out
+        self.inactive = inactive
+        self.reading: dict[str, tuple[int, float]] = {}  # by stager: piece and remaining bytes
+        self.failing: dict[str, float] = {}  # by stager: when it notices
         self.read_s: dict[int, float] = {}  # by piece
         self.bytes_sent = 0.0
-        self.most_connections = 0
+        self.max_connections = 0
 
-    def run(self, until_s: float, *, away_until_s: float = 0.0) -> None:
-        """Let all stagers read until a moment; the origin answers nobody before another one."""
+    def run(self, until_s: float, *, unavailable_until_s: float = 0.0) -> None:
+        """Let all stagers read; the origin answers nobody before ``unavailable_until_s``."""
         for step in range(round(until_s / STEP_S)):
             now_s = step * STEP_S
             self._send(now_s)
-            known = [index for index, at_s in self.read_s.items() if now_s - at_s >= NEWS_S]
-            for place, own in enumerate(STAGERS):
-                if own.address not in self.silent and step % LOOK_STEPS == place % LOOK_STEPS:
-                    self._look(own, known, now_s, away=now_s < away_until_s)
-            self.most_connections = max(self.most_connections, len(self.reading))
+            announced = [
+                index for index, at_s in self.read_s.items() if now_s - at_s >= ANNOUNCE_DELAY_S
+            ]
+            for position, own in enumerate(STAGERS):
+                if (
+                    own.address not in self.inactive
+                    and step % UPDATE_STEPS == position % UPDATE_STEPS
+                ):
+                    self._update(own, announced, now_s, unavailable=now_s < unavailable_until_s)
+            self.max_connections = max(self.max_connections, len(self.reading))
 
     def _send(self, now_s: float) -> None:
         share = ORIGIN_BYTES_PER_S * STEP_S / max(1, len(self.reading))
@@ -68,63 +72,65 @@
                 continue
             del self.reading[address]
             self.read_s.setdefault(index, now_s)
-            self.choices[address].record_origin_success(now_s)
+            self.selectors[address].record_origin_success(now_s)
 
-    def _look(self, own: Stager, known: list[int], now_s: float, *, away: bool) -> None:
+    def _update(
+        self, own: Stager, announced: list[int], now_s: float, *, unavailable: bool
+    ) -> None:
         if own.address in self.reading:
             return
-        choice = self.choices[own.address]
+        selector = self.selectors[own.address]
         if own.address in self.failing:
             if now_s < self.failing[own.address]:
                 return
             del self.failing[own.address]
-            choice.record_origin_failure(now_s)
+            selector.record_origin_failure(now_s)
         holder = PieceSource(stager=next(other for other in STAGERS if other != own), count=PIECES)
         holder.connected = holder.contacted = True
-        holder.held.add_all(known)
+        holder.held.add_all(announced)
         others = [other for other in STAGERS if other not in (own, holder.stager)]
-        choice.update([holder], number=3, now_s=now_s, unfollowed=others)
-        missing = [index for index in range(PIECES) if index not in known]
-        for index in choice.prioritise(missing, now_s):
-            if index in self.read_s or choice.choose(index, now_s) is not Origin.ORIGIN:
+        selector.update([holder], number=3, now_s=now_s, unfollowed=others)
+        missing = [index for index in range(PIECES) if index not in announced]
+        for index in selector.prioritise(missing, now_s):
+            if index in self.read_s or selector.choose(index, now_s) is not Origin.ORIGIN:
                 continue
-            if away:
-                self.failing[own.address] = now_s + AWAY_FOR_S
+            if unavailable:
+                self.failing[own.address] = now_s + FAILURE_DETECTION_S
             else:
                 self.reading[own.address] = index, float(PIECE_BYTES)
             return
 
 
-class TestAnOriginThatManyRead:
-    def test_sends_the_first_pieces_long_before_the_last(self):
-        origin = NarrowOrigin()
+class TestOriginWithManyReaders:
+    def test_sends_the_first_pieces_early(self):
+        origin = SimulatedOrigin()
         origin.run(0.5)
         assert len(origin.read_s) >= 5
 
-    def test_keeps_most_of_its_connections_free_for_others(self):
-        origin = NarrowOrigin()
-        origin.run(2 * WHOLE_S)
-        assert origin.most_connections <= ORIGIN_CONNECTIONS // 3
+    def test_keeps_two_thirds_of_its_connections_free(self):
+        origin = SimulatedOrigin()
+        origin.run(2 * ORIGIN_LINK_S)
+        assert origin.max_connections <= ORIGIN_CONNECTIONS // 3
 
-    def test_sends_little_more_than_one_copy_in_little_more_than_the_time_of_its_link(self):
-        origin = NarrowOrigin()
-        origin.run(2 * WHOLE_S)
+    def test_sends_about_one_copy_in_about_the_time_that_its_link_needs(self):
+        origin = SimulatedOrigin()
+        origin.run(2 * ORIGIN_LINK_S)
         assert len(origin.read_s) == PIECES
-        assert max(origin.read_s.values()) <= 1.15 * WHOLE_S
+        assert max(origin.read_s.values()) <= 1.15 * ORIGIN_LINK_S
         assert origin.bytes_sent <= 1.1 * PIECES * PIECE_BYTES
 
     @pytest.mark.parametrize("count", [1, 6])
-    def test_is_read_whole_soon_though_some_stagers_do_not_read_their_part(self, count):
-        origin = NarrowOrigin(silent=frozenset(own.address for own in STAGERS[:count]))
-        origin.run(2 * WHOLE_S)
+    def test_all_pieces_are_read_in_time_although_some_stagers_read_nothing(self, count):
+        origin = SimulatedOrigin(inactive=frozenset(own.address for own in STAGERS[:count]))
+        origin.run(2 * ORIGIN_LINK_S)
         assert len(origin.read_s) == PIECES
-        assert max(origin.read_s.values()) <= 1.5 * WHOLE_S
+        assert max(origin.read_s.values()) <= 1.5 * ORIGIN_LINK_S
 
     @pytest.mark.parametrize("away_s", [2.0, 6.0])
-    def test_is_read_whole_soon_after_it_was_away(self, away_s):
-        origin = NarrowOrigin()
-        origin.run(away_s + 2 * WHOLE_S, away_until_s=away_s)
-        assert origin.most_connections <= ORIGIN_CONNECTIONS // 3
+    def test_all_pieces_are_read_in_time_after_an_outage(self, away_s):
+        origin = SimulatedOrigin()
+        origin.run(away_s + 2 * ORIGIN_LINK_S, unavailable_until_s=away_s)
+        assert origin.max_connections <= ORIGIN_CONNECTIONS // 3
         assert len(origin.read_s) == PIECES
-        assert max(origin.read_s.values()) - away_s <= 1.5 * WHOLE_S
+        assert max(origin.read_s.values()) - away_s <= 1.5 * ORIGIN_LINK_S
         assert origin.bytes_sent <= 1.2 * PIECES * PIECE_BYTES
--- a/tests/staging/test_piece_exchange.py
+++ b/tests/staging/test_piece_exchange.py
@@ -1,4 +1,4 @@
-"""Pieces between stagers on loopback: slice by slice, from whoever holds them."""
+"""Tests of the exchange of pieces between stagers on loopback."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 )
 
 
-class NoOrigin:
-    """An origin that answers nobody, and counts who asked."""
+class FailingOrigin:
+    """An origin that fails all reads and records them."""
 
     bytes_read = 0
 
@@ -49,8 +49,8 @@
         return None
 
 
-class HangingOrigin(NoOrigin):
-    """An origin that takes requests and never answers."""
+class HangingOrigin(FailingOrigin):
+    """An origin that accepts requests and never answers."""
 
     async def piece(self, model: str, number: int, index: int) -> bytes | None:
         self.asked.append(index)
@@ -58,7 +58,7 @@
         return None
 
 
-class GoodOrigin(NoOrigin):
+class WorkingOrigin(FailingOrigin):
     """An origin that answers at once."""
 
     async def piece(self, model: str, number: int, index: int) -> bytes | None:
@@ -67,7 +67,7 @@
 
 
 class Node:
-    """One stager; its link carries what is said."""
+    """A stager with a link of the given speed."""
 
     def __init__(self, address: str, *, bytes_per_s: float, domain: str = "a") -> None:
         self.stager = Stager(address=address, failure_domain=domain)
@@ -80,7 +80,7 @@
             address=Address.parse(address).unwrap(), token=TOKEN, handlers=self.handlers
         )
         self.store = PieceStore()
-        self.origin = NoOrigin()
+        self.origin = FailingOrigin()
         self.pieces = PieceServer(
             store=self.store,
             handlers=self.handlers,
@@ -93,7 +93,7 @@
         assert version is not None
         return version
 
-    def hold(self, *indexes: int) -> None:
+    def add_pieces(self, *indexes: int) -> None:
         for index in indexes:
             assert self.staged().add(index, PIECES[index])
 
@@ -122,13 +122,13 @@
         await self.wire.stop()
 
 
-def with_nodes(
+def run_with_nodes(
     work: Callable[..., Awaitable[None]], *, count: int, bytes_per_s: float = 1e8
 ) -> None:
     async def run() -> None:
-        take = LoopbackAddresses()
+        next_address = LoopbackAddresses()
         nodes = [
-            Node(take(f"n{number}", Listener.WIRE), bytes_per_s=bytes_per_s)
+            Node(next_address(f"n{number}", Listener.WIRE), bytes_per_s=bytes_per_s)
             for number in range(count)
         ]
         for node in nodes:
@@ -142,124 +142,131 @@
     asyncio.run(asyncio.wait_for(run(), 30))
 
 
-def ask(piece: int, offset: int = 0, *, patience_ms: int = 5_000) -> SliceRequest:
+def slice_request(piece: int, offset: int = 0, *, patience_ms: int = 5_000) -> SliceRequest:
     return SliceRequest("m", 1, piece, offset, SLICE_BYTES, "a", 0, patience_ms)
 
 
 class TestPieceFetch:
-    def test_takes_each_piece_whole_from_those_that_hold_it(self):
-        async def work(one: Node, two: Node, empty: Node) -> None:
-            one.hold(0, 1, 2, 3)
-            two.hold(4, 5, 6, 7)
-            await empty.fetch(one, two).run()
-            assert [empty.staged().piece(index) for index in range(8)] == PIECES
-            assert empty.origin.asked == []
-
-        with_nodes(work, count=3)
-
-    def test_what_only_a_slow_source_holds_is_read_at_the_origin_in_time(self):
-        async def work(slow: Node, empty: Node) -> None:
+    def test_fetches_all_pieces_from_their_holders(self):
+        async def work(first: Node, second: Node, receiver: Node) -> None:
+            first.add_pieces(0, 1, 2, 3)
+            second.add_pieces(4, 5, 6, 7)
+            await receiver.fetch(first, second).run()
+            assert [receiver.staged().piece(index) for index in range(8)] == PIECES
+            assert receiver.origin.asked == []
+
+        run_with_nodes(work, count=3)
+
+    def test_reads_a_piece_from_the_origin_if_its_only_holder_is_slow(self):
+        async def work(slow: Node, receiver: Node) -> None:
             slow.bytes_per_s = SLICE_BYTES * 2  # one piece takes more than four seconds
-            slow.hold(7)
-            empty.hold(*range(7))
-            empty.origin = GoodOrigin()
+            slow.add_pieces(7)
+            receiver.add_pieces(*range(7))
+            receiver.origin = WorkingOrigin()
             began_s = asyncio.get_running_loop().time()
-            await empty.fetch(slow).run()
-            assert empty.staged().piece(7) == PIECES[7]
+            await receiver.fetch(slow).run()
+            assert receiver.staged().piece(7) == PIECES[7]
             assert asyncio.get_running_loop().time() - began_s < SLOW_PIECE_S + 1.5
-            assert empty.origin.asked == [7]
+            assert receiver.origin.asked == [7]
 
-        with_nodes(work, count=2)
+        run_with_nodes(work, count=2)
 
-    def test_a_slow_source_is_kept_where_the_piece_cannot_be_had_elsewhere(self):
-        async def work(slow: Node, empty: Node) -> None:
+    def test_keeps_a_slow_source_if_the_piece_is_not_available_elsewhere(self):
+        async def work(slow: Node, receiver: Node) -> None:
             slow.bytes_per_s = SLICE_BYTES * 4
-            slow.hold(7)
-            empty.hold(*range(7))
-            await empty.fetch(slow).run()
-            assert empty.staged().piece(7) == PIECES[7]
-
-        with_nodes(work, count=2)
-
-    def test_goes_on_with_the_same_piece_at_another_source_after_one_is_lost(self):
-        async def work(one: Node, two: Node, empty: Node) -> None:
-            one.hold(*range(8))
-            fetch = asyncio.create_task(empty.fetch(one, two).run())
-            await eventually(lambda: one.pieces.bytes_sent > 0)
-            two.hold(*range(8))
-            await one.stop()
+            slow.add_pieces(7)
+            receiver.add_pieces(*range(7))
+            await receiver.fetch(slow).run()
+            assert receiver.staged().piece(7) == PIECES[7]
+
+        run_with_nodes(work, count=2)
+
+    def test_continues_a_piece_at_another_source_after_the_first_is_lost(self):
+        async def work(first: Node, second: Node, receiver: Node) -> None:
+            first.add_pieces(*range(8))
+            fetch = asyncio.create_task(receiver.fetch(first, second).run())
+            await eventually(lambda: first.pieces.bytes_sent > 0)
+            second.add_pieces(*range(8))
+            await first.stop()
             await fetch
-            sent = one.pieces.bytes_sent + two.pieces.bytes_sent
-            assert empty.staged().complete
+            sent = first.pieces.bytes_sent + second.pieces.bytes_sent
+            assert receiver.staged().complete
             assert sent < 1.5 * 8 * PIECE_BYTES
 
-        with_nodes(work, count=3, bytes_per_s=100_000)
+        run_with_nodes(work, count=3, bytes_per_s=100_000)
 
-    def test_over_a_slow_link_waits_for_no_origin_that_is_silent(self):
-        async def work(one: Node, slow: Node) -> None:
+    def test_does_not_wait_for_a_silent_origin_over_a_slow_link(self):
+        async def work(holder: Node, slow: Node) -> None:
             slow.origin = HangingOrigin()
-            fetch = asyncio.create_task(slow.fetch(one, link_share=0.1).run())
+            fetch = asyncio.create_task(slow.fetch(holder, link_share=0.1).run())
             await eventually(lambda: slow.origin.asked)
-            one.hold(*range(8))
+            holder.add_pieces(*range(8))
             await eventually(lambda: slow.staged().held.held_count >= 7)
             fetch.cancel()
             await asyncio.gather(fetch, return_exceptions=True)
 
-        with_nodes(work, count=2)
+        run_with_nodes(work, count=2)
 
-    def test_a_spoilt_piece_is_taken_from_elsewhere(self):
-        async def work(bad: Node, good: Node, empty: Node) -> None:
-            bad.hold(*range(8))
-            bad.staged()._pieces[3] = bytes(PIECE_BYTES)
-            fetch = asyncio.create_task(empty.fetch(bad, good).run())
-            await eventually(lambda: empty.staged().held.held_count == 7)
-            good.hold(*range(8))
+    def test_fetches_a_damaged_piece_from_another_source(self):
+        async def work(damaged: Node, intact: Node, receiver: Node) -> None:
+            damaged.add_pieces(*range(8))
+            damaged.staged()._pieces[3] = bytes(PIECE_BYTES)
+            fetch = asyncio.create_task(receiver.fetch(damaged, intact).run())
+            await eventually(lambda: receiver.staged().held.held_count == 7)
+            intact.add_pieces(*range(8))
             await fetch
-            assert empty.staged().piece(3) == PIECES[3]
+            assert receiver.staged().piece(3) == PIECES[3]
 
-        with_nodes(work, count=3)
+        run_with_nodes(work, count=3)
 
 
 class TestPieceServer:
-    def test_sends_the_part_that_was_asked_for(self):
-        async def work(one: Node, two: Node) -> None:
-            one.hold(2)
-            connection = (await two.peers.connection(one.stager.address)).unwrap()
+    def test_sends_the_requested_slice(self):
+        async def work(sender: Node, receiver: Node) -> None:
+            sender.add_pieces(2)
+            connection = (await receiver.peers.connection(sender.stager.address)).unwrap()
             last = PIECE_BYTES - PIECE_BYTES % SLICE_BYTES
-            reply = (await connection.call(ask(2, last), timeout_ms=5_000)).unwrap()
+            reply = (await connection.call(slice_request(2, last), timeout_ms=5_000)).unwrap()
             assert reply.data == PIECES[2][last:]
 
-        with_nodes(work, count=2)
-
-    def test_says_what_it_does_not_hold(self):
-        async def work(one: Node, two: Node) -> None:
-            one.hold(2)
-            connection = (await two.peers.connection(one.stager.address)).unwrap()
-            for request in (ask(3), ask(99), ask(2, PIECE_BYTES), ask(2, -1)):
-                answered = await connection.call(request, timeout_ms=5_000)
-                assert answered.unwrap_err().code is Code.CHUNK_UNKNOWN
-
-        with_nodes(work, count=2)
-
-    def test_sends_nothing_that_was_waited_for_too_long(self):
-        async def work(one: Node, two: Node) -> None:
-            one.hold(2)
-            connection = (await two.peers.connection(one.stager.address)).unwrap()
-            first = connection.call(ask(2), timeout_ms=20_000)
-            late = connection.call(ask(2, SLICE_BYTES, patience_ms=50), timeout_ms=20_000)
-            answers = await asyncio.gather(first, late)
-            assert answers[0].is_ok()
-            assert answers[1].unwrap_err().code is Code.PEER_TIMEOUT
-            assert one.pieces.bytes_sent < 2 * SLICE_BYTES
-
-        with_nodes(work, count=2, bytes_per_s=30_000)
-
-    def test_keeps_to_the_pace_of_its_link(self):
-        async def work(one: Node, two: Node) -> None:
-            one.hold(*range(8))
-            await two.fetch(one).run()
-            bytes_in_time = one.pieces.bytes_sent
-            assert bytes_in_time >= 8 * PIECE_BYTES
-            assert one.pieces._pacer.bytes_taken == bytes_in_time
-
-        with_nodes(work, count=2)
+        run_with_nodes(work, count=2)
+
+    def test_rejects_requests_for_data_that_it_does_not_hold(self):
+        async def work(sender: Node, receiver: Node) -> None:
+            sender.add_pieces(2)
+            connection = (await receiver.peers.connection(sender.stager.address)).unwrap()
+            for request in (
+                slice_request(3),
+                slice_request(99),
+                slice_request(2, PIECE_BYTES),
+                slice_request(2, -1),
+            ):
+                result = await connection.call(request, timeout_ms=5_000)
+                assert result.unwrap_err().code is Code.CHUNK_UNKNOWN
+
+        run_with_nodes(work, count=2)
+
+    def test_does_not_send_a_slice_after_its_requester_stopped_waiting(self):
+        async def work(sender: Node, receiver: Node) -> None:
+            sender.add_pieces(2)
+            connection = (await receiver.peers.connection(sender.stager.address)).unwrap()
+            served = connection.call(slice_request(2), timeout_ms=20_000)
+            expired = connection.call(
+                slice_request(2, SLICE_BYTES, patience_ms=50), timeout_ms=20_000
+            )
+            results = await asyncio.gather(served, expired)
+            assert results[0].is_ok()
+            assert results[1].unwrap_err().code is Code.PEER_TIMEOUT
+            assert sender.pieces.bytes_sent < 2 * SLICE_BYTES
+
+        run_with_nodes(work, count=2, bytes_per_s=30_000)
+
+    def test_charges_all_sent_bytes_to_its_pacer(self):
+        async def work(sender: Node, receiver: Node) -> None:
+            sender.add_pieces(*range(8))
+            await receiver.fetch(sender).run()
+            sent_bytes = sender.pieces.bytes_sent
+            assert sent_bytes >= 8 * PIECE_BYTES
+            assert sender.pieces._pacer.bytes_taken == sent_bytes
+
+        run_with_nodes(work, count=2)
--- a/tests/staging/test_source_selector.py
+++ b/tests/staging/test_source_selector.py
@@ -1,4 +1,4 @@
-"""Tests of whom a stager asks for a piece."""
+"""Tests of the selection of sources and of the takeover delays."""
 
 from __future__ import annotations
 
@@ -17,198 +17,203 @@
 
 PIECES = 24
 OWN = Stager(address="127.0.0.1:1", failure_domain="a")
-NEIGHBOUR = Stager(address="127.0.0.1:2", failure_domain="a")
-FAR = Stager(address="127.0.0.1:3", failure_domain="b")
+LOCAL = Stager(address="127.0.0.1:2", failure_domain="a")
+REMOTE = Stager(address="127.0.0.1:3", failure_domain="b")
 
-SLOW = TakeoverDelays(
+SLOW_DELAYS = TakeoverDelays(
     piece_bytes=1_000, origin_bytes_per_s=lambda: 1.0, link_bytes_per_s=lambda: 1.0
 )
-"""Links on which even one piece takes longer than anybody is waited for."""
+"""Delays for links so slow that a single piece takes longer than the maximum delay."""
 
-A_MOMENT_S = 0.001
-ALL_DUE_S = PIECES * 1_000.0  # such an origin has had time for every piece
+EPSILON_S = 0.001
+ALL_DUE_S = PIECES * 1_000.0  # by then every piece of such an origin is due
 
 
-def a_source(stager: Stager, *held: int) -> PieceSource:
+def make_source(stager: Stager, *held: int) -> PieceSource:
     source = PieceSource(stager=stager, count=PIECES)
     source.connected = source.contacted = True
     source.held.add_all(held)
     return source
 
 
-def a_choice(*sources: PieceSource) -> SourceSelector:
-    choice = SourceSelector(own=OWN, number=1, seed=1, delays=SLOW)
-    choice.update(sources, number=1, now_s=0.0)
-    return choice
+def make_selector(*sources: PieceSource) -> SourceSelector:
+    selector = SourceSelector(own=OWN, number=1, seed=1, delays=SLOW_DELAYS)
+    selector.update(sources, number=1, now_s=0.0)
+    return selector
 
 
-def read_by(stager: Stager) -> int:
-    sharing = PieceAssignment(number=1, stagers=[OWN, NEIGHBOUR, FAR])
-    return next(index for index in range(PIECES) if sharing.origin_reader(index) == stager)
+def piece_read_by(stager: Stager) -> int:
+    assignment = PieceAssignment(number=1, stagers=[OWN, LOCAL, REMOTE])
+    return next(index for index in range(PIECES) if assignment.origin_reader(index) == stager)
 
 
-class TestSourceChoice:
-    def test_takes_from_a_neighbour_what_it_holds(self):
-        neighbour, far = a_source(NEIGHBOUR, 5), a_source(FAR, 5)
-        assert a_choice(neighbour, far).choose(5, 0.0) is neighbour
+class TestSourceSelector:
+    def test_prefers_a_local_holder_to_a_remote_one(self):
+        local, remote = make_source(LOCAL, 5), make_source(REMOTE, 5)
+        assert make_selector(local, remote).choose(5, 0.0) is local
 
-    def test_asks_nobody_who_owes_enough(self):
-        neighbour = a_source(NEIGHBOUR, 5, 6)
-        neighbour.requested.update(range(10, 10 + MAX_REQUESTS_PER_SOURCE))
-        assert a_choice(neighbour, a_source(FAR, 5)).choose(5, 0.0) is None
+    def test_waits_for_a_local_holder_with_the_maximum_of_pending_requests(self):
+        local = make_source(LOCAL, 5, 6)
+        local.requested.update(range(10, 10 + MAX_REQUESTS_PER_SOURCE))
+        assert make_selector(local, make_source(REMOTE, 5)).choose(5, 0.0) is None
 
-    def test_reads_its_own_pieces_from_the_origin(self):
-        choice = a_choice(a_source(NEIGHBOUR), a_source(FAR))
-        assert choice.choose(read_by(OWN), 0.0) is Origin.ORIGIN
-        assert choice.choose(read_by(NEIGHBOUR), 0.0) is None
+    def test_reads_only_its_own_pieces_from_the_origin(self):
+        selector = make_selector(make_source(LOCAL), make_source(REMOTE))
+        assert selector.choose(piece_read_by(OWN), 0.0) is Origin.ORIGIN
+        assert selector.choose(piece_read_by(LOCAL), 0.0) is None
 
-    def test_brings_in_what_another_one_should_have_brought(self):
-        sharing = PieceAssignment(number=1, stagers=[OWN, NEIGHBOUR, FAR])
+    def test_imports_a_piece_after_the_assigned_importer_did_not(self):
+        assignment = PieceAssignment(number=1, stagers=[OWN, LOCAL, REMOTE])
         index = next(
             index
             for index in range(PIECES)
-            if sharing.origin_reader(index) == FAR and sharing.importer(index, "a") == NEIGHBOUR
+            if assignment.origin_reader(index) == REMOTE
+            and assignment.importer(index, "a") == LOCAL
         )
-        far = a_source(FAR, index)
-        choice = a_choice(a_source(NEIGHBOUR), far)
-        assert choice.choose(index, 0.0) is None
-        assert choice.choose(index, MAX_IMPORT_DELAY_S) is far
-
-    def test_reads_what_another_one_should_have_read_once_its_own_part_is_read(self):
-        choice = a_choice(a_source(NEIGHBOUR), a_source(FAR))
-        index = read_by(NEIGHBOUR)
-        choice.prioritise([index, read_by(OWN)], 0.0)
-        assert choice.choose(index, 60.0) is None
-        choice.prioritise([index], 60.0)
-        assert choice.choose(index, 60.0) is None
-        assert choice.choose(index, 60.0 + 2 * MAX_READ_DELAY_S + A_MOMENT_S) is Origin.ORIGIN
-
-    def test_one_after_the_other_steps_in(self):
-        stagers = [OWN, NEIGHBOUR, FAR]
-        sharing = PieceAssignment(number=1, stagers=stagers)
+        remote = make_source(REMOTE, index)
+        selector = make_selector(make_source(LOCAL), remote)
+        assert selector.choose(index, 0.0) is None
+        assert selector.choose(index, MAX_IMPORT_DELAY_S) is remote
+
+    def test_takes_over_the_read_of_another_stager_after_its_own_pieces_are_read(self):
+        selector = make_selector(make_source(LOCAL), make_source(REMOTE))
+        index = piece_read_by(LOCAL)
+        selector.prioritise([index, piece_read_by(OWN)], 0.0)
+        assert selector.choose(index, 60.0) is None
+        selector.prioritise([index], 60.0)
+        assert selector.choose(index, 60.0) is None
+        assert selector.choose(index, 60.0 + 2 * MAX_READ_DELAY_S + EPSILON_S) is Origin.ORIGIN
+
+    def test_stagers_take_over_one_after_the_other(self):
+        stagers = [OWN, LOCAL, REMOTE]
+        assignment = PieceAssignment(number=1, stagers=stagers)
         for index in range(PIECES):
-            places = {sharing.reader_rank(index, stager) for stager in stagers}
-            assert places == {0, 1, 2}
-            assert sharing.reader_rank(index, sharing.origin_reader(index)) == 0
-            inside = {sharing.importer_rank(index, stager) for stager in (OWN, NEIGHBOUR)}
-            assert inside == {0, 1}
-            assert sharing.importer_rank(index, sharing.importer(index, "a")) == 0
-
-    def test_asks_no_source_that_owes_us_something_and_hangs(self):
-        neighbour, far = a_source(NEIGHBOUR, 5), a_source(FAR, 5)
-        neighbour.record_request(7, 0.0)
-        choice = SourceSelector(own=OWN, number=1, seed=1, delays=SLOW)
-        choice.update([neighbour, far], number=1, now_s=SILENT_AFTER_S + 0.1)
-        choice.choose(5, SILENT_AFTER_S + 0.1)
-        assert choice.choose(5, SILENT_AFTER_S + MAX_IMPORT_DELAY_S + 0.2) is far
-        neighbour.record_slice(1.0, SILENT_AFTER_S + 0.1)
-        assert neighbour.is_usable(SILENT_AFTER_S + 0.2)
+            ranks = {assignment.reader_rank(index, stager) for stager in stagers}
+            assert ranks == {0, 1, 2}
+            assert assignment.reader_rank(index, assignment.origin_reader(index)) == 0
+            import_ranks = {assignment.importer_rank(index, stager) for stager in (OWN, LOCAL)}
+            assert import_ranks == {0, 1}
+            assert assignment.importer_rank(index, assignment.importer(index, "a")) == 0
+
+    def test_does_not_use_a_source_that_is_silent_with_pending_requests(self):
+        local, remote = make_source(LOCAL, 5), make_source(REMOTE, 5)
+        local.record_request(7, 0.0)
+        selector = SourceSelector(own=OWN, number=1, seed=1, delays=SLOW_DELAYS)
+        selector.update([local, remote], number=1, now_s=SILENT_AFTER_S + 0.1)
+        selector.choose(5, SILENT_AFTER_S + 0.1)
+        assert selector.choose(5, SILENT_AFTER_S + MAX_IMPORT_DELAY_S + 0.2) is remote
+        local.record_slice(1.0, SILENT_AFTER_S + 0.1)
+        assert local.is_usable(SILENT_AFTER_S + 0.2)
 
     @pytest.mark.parametrize("outage_s", [1.0, 6.0, 60.0])
-    def test_leaves_the_pieces_of_others_to_them_after_the_origin_was_away(self, outage_s):
-        choice = a_choice(a_source(NEIGHBOUR), a_source(FAR))
-        index = read_by(NEIGHBOUR)
-        choice.prioritise([index], 0.0)
-        choice.record_origin_failure(outage_s)
-        choice.prioritise([index], outage_s)
-        assert choice.choose(index, outage_s + 0.9 * MAX_READ_DELAY_S) is None
-        assert choice.choose(index, outage_s + 2 * MAX_READ_DELAY_S + A_MOMENT_S) is Origin.ORIGIN
-
-    def test_does_the_tasks_of_those_that_are_gone(self):
-        index = read_by(NEIGHBOUR)
-        choice = SourceSelector(own=OWN, number=1, seed=1, delays=SLOW)
-        choice.update([], number=1, now_s=0.0)
-        assert choice.choose(index, 0.0) is Origin.ORIGIN
-
-    def test_asks_first_for_what_neighbours_wait_for(self):
+    def test_restarts_the_takeover_delay_after_the_origin_was_unavailable(self, outage_s):
+        selector = make_selector(make_source(LOCAL), make_source(REMOTE))
+        index = piece_read_by(LOCAL)
+        selector.prioritise([index], 0.0)
+        selector.record_origin_failure(outage_s)
+        selector.prioritise([index], outage_s)
+        assert selector.choose(index, outage_s + 0.9 * MAX_READ_DELAY_S) is None
+        assert selector.choose(index, outage_s + 2 * MAX_READ_DELAY_S + EPSILON_S) is Origin.ORIGIN
+
+    def test_reads_the_pieces_of_stagers_that_are_gone(self):
+        index = piece_read_by(LOCAL)
+        selector = SourceSelector(own=OWN, number=1, seed=1, delays=SLOW_DELAYS)
+        selector.update([], number=1, now_s=0.0)
+        assert selector.choose(index, 0.0) is Origin.ORIGIN
+
+    def test_requests_first_what_local_stagers_wait_for(self):
         held = [index for index in range(PIECES) if index % 2]
-        order = a_choice(a_source(NEIGHBOUR, *held), a_source(FAR)).prioritise(
+        order = make_selector(make_source(LOCAL, *held), make_source(REMOTE)).prioritise(
             list(range(PIECES)), 0.0
         )
         assert sorted(order) == list(range(PIECES))
         assert set(order[PIECES // 2 :]) == set(held)
         assert (
-            PieceAssignment(number=1, stagers=[OWN, NEIGHBOUR, FAR]).origin_reader(order[0]) == OWN
+            PieceAssignment(number=1, stagers=[OWN, LOCAL, REMOTE]).origin_reader(order[0]) == OWN
         )
 
-    def test_asks_an_origin_that_did_not_answer_again_after_a_pause(self):
-        choice = a_choice(a_source(NEIGHBOUR), a_source(FAR))
-        choice.record_origin_failure(1.0)
-        assert choice.choose(read_by(OWN), 1.0 + ORIGIN_RETRY_S / 2) is None
-        assert choice.choose(read_by(OWN), 1.0 + ORIGIN_RETRY_S) is Origin.ORIGIN
+    def test_retries_the_origin_after_a_pause(self):
+        selector = make_selector(make_source(LOCAL), make_source(REMOTE))
+        selector.record_origin_failure(1.0)
+        assert selector.choose(piece_read_by(OWN), 1.0 + ORIGIN_RETRY_S / 2) is None
+        assert selector.choose(piece_read_by(OWN), 1.0 + ORIGIN_RETRY_S) is Origin.ORIGIN
 
-    def test_waits_for_others_no_longer_than_what_is_left_takes(self):
-        quick = TakeoverDelays(
+    def test_takeover_delay_shrinks_with_the_pieces_that_are_left(self):
+        fast_delays = TakeoverDelays(
             piece_bytes=1_000, origin_bytes_per_s=lambda: 1e5, link_bytes_per_s=lambda: 1e5
         )
-        choice = SourceSelector(own=OWN, number=1, seed=1, delays=quick)
-        choice.update([a_source(NEIGHBOUR), a_source(FAR)], number=1, now_s=0.0)
-        index = read_by(NEIGHBOUR)
-        choice.prioritise([index], 0.0)
-        assert choice.choose(index, 0.1) is None
-        assert choice.choose(index, 2 * quick.read_delay_s(1)) is Origin.ORIGIN
-        assert 2 * quick.read_delay_s(1) < MAX_READ_DELAY_S
-
-
-class TestACutOffDomain:
-    def test_is_taken_for_lost_with_those_that_are_not_followed(self):
-        followed = [a_source(Stager(address=f"127.0.0.2:{n}", failure_domain="b")) for n in (1, 2)]
+        selector = SourceSelector(own=OWN, number=1, seed=1, delays=fast_delays)
+        selector.update([make_source(LOCAL), make_source(REMOTE)], number=1, now_s=0.0)
+        index = piece_read_by(LOCAL)
+        selector.prioritise([index], 0.0)
+        assert selector.choose(index, 0.1) is None
+        assert selector.choose(index, 2 * fast_delays.read_delay_s(1)) is Origin.ORIGIN
+        assert 2 * fast_delays.read_delay_s(1) < MAX_READ_DELAY_S
+
+
+class TestCutOffDomain:
+    def test_counts_as_unreachable_with_its_unfollowed_stagers(self):
+        followed = [
+            make_source(Stager(address=f"127.0.0.2:{n}", failure_domain="b")) for n in (1, 2)
+        ]
         unfollowed = [Stager(address=f"127.0.0.2:{n}", failure_domain="b") for n in (3, 4)]
-        choice = SourceSelector(own=OWN, number=1, seed=1, delays=SLOW)
-        choice.update(followed, number=1, now_s=0.0, unfollowed=unfollowed)
-        waited = [index for index in range(PIECES) if choice.choose(index, ALL_DUE_S) is None]
-        assert waited
+        selector = SourceSelector(own=OWN, number=1, seed=1, delays=SLOW_DELAYS)
+        selector.update(followed, number=1, now_s=0.0, unfollowed=unfollowed)
+        waiting = [index for index in range(PIECES) if selector.choose(index, ALL_DUE_S) is None]
+        assert waiting
         followed[0].connected = False
-        choice.update(followed, number=1, now_s=0.0, unfollowed=unfollowed)
-        assert [index for index in waited if choice.choose(index, ALL_DUE_S) is None]
+        selector.update(followed, number=1, now_s=0.0, unfollowed=unfollowed)
+        assert [index for index in waiting if selector.choose(index, ALL_DUE_S) is None]
         followed[1].connected = False
-        choice.update(followed, number=1, now_s=0.0, unfollowed=unfollowed)
-        assert all(choice.choose(index, ALL_DUE_S) is Origin.ORIGIN for index in range(PIECES))
+        selector.update(followed, number=1, now_s=0.0, unfollowed=unfollowed)
+        assert all(selector.choose(index, ALL_DUE_S) is Origin.ORIGIN for index in range(PIECES))
 
 
-class TestTaskPatience:
-    PATIENCE = TakeoverDelays(
+class TestTakeoverDelays:
+    DELAYS = TakeoverDelays(
         piece_bytes=24_576,
         origin_bytes_per_s=lambda: 912_500.0,
         link_bytes_per_s=lambda: 456_250.0,
     )
 
-    def test_grows_with_what_is_left_up_to_a_bound(self):
-        reads = [self.PATIENCE.read_delay_s(unread) for unread in (1, 3, 9, 96)]
-        imports = [self.PATIENCE.import_delay_s(outside, 3) for outside in (1, 6, 30, 96)]
-        assert reads == sorted(reads)
-        assert imports == sorted(imports)
-        assert reads[-1] == MAX_READ_DELAY_S
-        assert imports[-1] == MAX_IMPORT_DELAY_S
-        assert reads[0] < MAX_READ_DELAY_S / 2
-        assert imports[0] < MAX_IMPORT_DELAY_S / 2
-
-    def test_is_the_longest_where_the_origin_does_not_say_its_speed(self):
-        unknown = TakeoverDelays(
+    def test_grow_with_the_pieces_that_are_left_up_to_a_maximum(self):
+        read_delays = [self.DELAYS.read_delay_s(unread) for unread in (1, 3, 9, 96)]
+        import_delays = [
+            self.DELAYS.import_delay_s(remote_count, 3) for remote_count in (1, 6, 30, 96)
+        ]
+        assert read_delays == sorted(read_delays)
+        assert import_delays == sorted(import_delays)
+        assert read_delays[-1] == MAX_READ_DELAY_S
+        assert import_delays[-1] == MAX_IMPORT_DELAY_S
+        assert read_delays[0] < MAX_READ_DELAY_S / 2
+        assert import_delays[0] < MAX_IMPORT_DELAY_S / 2
+
+    def test_are_the_maximum_if_the_speed_of_the_origin_is_unknown(self):
+        unknown_speed = TakeoverDelays(
             piece_bytes=24_576, origin_bytes_per_s=lambda: 0.0, link_bytes_per_s=lambda: 1.0
         )
-        assert unknown.read_delay_s(1) == MAX_READ_DELAY_S
-
-
-class TestOriginAway:
-    def test_blocks_a_version_of_which_nobody_holds_some_pieces(self):
-        choice = a_choice(a_source(NEIGHBOUR, 5))
-        assert not choice.blocked([5, 6], 1.0)
-        choice.record_origin_failure(1.0)
-        assert choice.blocked([5, 6], 1.1)
-        assert not choice.blocked([5], 1.1)
-
-    def test_no_more_once_it_answers_or_was_not_asked_for_long(self):
-        choice = a_choice(a_source(NEIGHBOUR))
-        choice.record_origin_failure(1.0)
-        assert not choice.blocked([6], 1.1 + ORIGIN_FAILURE_VALID_S)
-        choice.record_origin_success(1.2)
-        assert not choice.blocked([6], 1.1)
-
-    def test_a_slow_holder_is_left_where_another_one_or_the_origin_has_the_piece(self):
-        slow, other = a_source(NEIGHBOUR, 5), a_source(FAR, 5)
-        alone = a_choice(slow)
-        assert alone.available_elsewhere(5, slow, 1.0)
-        alone.record_origin_failure(1.0)
-        assert not alone.available_elsewhere(5, slow, 1.1)
-        assert a_choice(slow, other).available_elsewhere(5, slow, 1.0)
+        assert unknown_speed.read_delay_s(1) == MAX_READ_DELAY_S
+
+
+class TestOriginUnavailable:
+    def test_blocks_a_version_if_nobody_holds_some_of_its_pieces(self):
+        selector = make_selector(make_source(LOCAL, 5))
+        assert not selector.blocked([5, 6], 1.0)
+        selector.record_origin_failure(1.0)
+        assert selector.blocked([5, 6], 1.1)
+        assert not selector.blocked([5], 1.1)
+
+    def test_does_not_block_after_it_answered_or_the_failure_is_old(self):
+        selector = make_selector(make_source(LOCAL))
+        selector.record_origin_failure(1.0)
+        assert not selector.blocked([6], 1.1 + ORIGIN_FAILURE_VALID_S)
+        selector.record_origin_success(1.2)
+        assert not selector.blocked([6], 1.1)
+
+    def test_a_piece_is_available_elsewhere_from_another_holder_or_the_origin(self):
+        slow, other = make_source(LOCAL, 5), make_source(REMOTE, 5)
+        selector = make_selector(slow)
+        assert selector.available_elsewhere(5, slow, 1.0)
+        selector.record_origin_failure(1.0)
+        assert not selector.available_elsewhere(5, slow, 1.1)
+        assert make_selector(slow, other).available_elsewhere(5, slow, 1.0)
--- a/tests/staging/test_staging_units.py
+++ b/tests/staging/test_staging_units.py
@@ -1,4 +1,4 @@
-"""Who brings which piece, whose turn it is, and what counts as a piece."""
+"""Tests of piece assignment, switch turns, the piece store and the link monitor."""
 
 from __future__ import annotations
 
@@ -31,38 +31,38 @@
     ]
 
 
-class TestSharing:
+class TestPieceAssignment:
     @given(st.lists(st.sampled_from("abc"), min_size=1, max_size=12), st.integers(1, 9))
-    def test_all_agree_on_one_reader_and_one_importer_a_domain(self, domains, number):
+    def test_all_stagers_compute_the_same_reader_and_importers(self, domains, number):
         found = stagers(*domains)
-        views = [
+        assignments = [
             PieceAssignment(number=number, stagers=found),
             PieceAssignment(number=number, stagers=list(reversed(found))),
         ]
         for index in range(96):
-            readers = {view.origin_reader(index) for view in views}
+            readers = {assignment.origin_reader(index) for assignment in assignments}
             assert len(readers) == 1
             for domain in set(domains):
-                importers = {view.importer(index, domain) for view in views}
+                importers = {assignment.importer(index, domain) for assignment in assignments}
                 assert len(importers) == 1
                 assert importers.pop().failure_domain == domain
 
-    def test_the_reader_brings_its_own_pieces_in(self):
-        sharing = PieceAssignment(number=2, stagers=stagers(*"aabbcc"))
+    def test_the_reader_is_the_importer_of_its_own_domain(self):
+        assignment = PieceAssignment(number=2, stagers=stagers(*"aabbcc"))
         for index in range(96):
-            reader = sharing.origin_reader(index)
-            assert sharing.importer(index, reader.failure_domain) == reader
+            reader = assignment.origin_reader(index)
+            assert assignment.importer(index, reader.failure_domain) == reader
 
-    def test_tasks_are_dealt_out_evenly(self):
-        sharing = PieceAssignment(number=2, stagers=stagers(*"aaaabbbccc"))
-        reads = Counter(sharing.origin_reader(index).address for index in range(96))
+    def test_pieces_are_divided_evenly(self):
+        assignment = PieceAssignment(number=2, stagers=stagers(*"aaaabbbccc"))
+        reads = Counter(assignment.origin_reader(index).address for index in range(96))
         assert max(reads.values()) - min(reads.values()) <= 1
-        imports = Counter(sharing.importer(index, "b").address for index in range(96))
+        imports = Counter(assignment.importer(index, "b").address for index in range(96))
         assert max(imports.values()) - min(imports.values()) <= 4
 
 
-def standings(states: str) -> list[SwitchState]:
-    """Make engines by letter: done, switching, complete, or not complete (-)."""
+def switch_states(states: str) -> list[SwitchState]:
+    """Create engines from letters: done, switching, complete, or not complete (-)."""
     return [
         SwitchState(
             address=f"10.0.0.{number}:80",
@@ -75,49 +75,51 @@
     ]
 
 
-def allowed(states: str, number: int = 2, *, announced: bool = False) -> list[str]:
-    """Give the complete engines that may change now."""
-    found = standings(states)
+def allowed_to_switch(states: str, number: int = 2, *, announced: bool = False) -> list[str]:
+    """Return the complete engines that may switch now."""
+    engines = switch_states(states)
     return [
-        standing.address
-        for standing in found
-        if standing.complete and not standing.done and not standing.switching
-        if may_switch(standing.address, number, found, announced=announced)
+        engine.address
+        for engine in engines
+        if engine.complete and not engine.done and not engine.switching
+        if may_switch(engine.address, number, engines, announced=announced)
     ]
 
 
-class TestTurns:
-    def test_half_may_go_first(self):
-        assert len(allowed("cccccccccc")) == 5
+class TestMaySwitch:
+    def test_half_of_the_engines_may_switch_first(self):
+        assert len(allowed_to_switch("cccccccccc")) == 5
 
-    def test_the_others_wait_while_half_is_changing(self):
-        assert allowed("sssssccccc") == []
+    def test_the_others_wait_while_half_is_switching(self):
+        assert allowed_to_switch("sssssccccc") == []
 
-    def test_the_others_go_once_half_is_done(self):
-        assert len(allowed("dddddccccc")) == 5
+    def test_the_others_may_switch_after_half_is_done(self):
+        assert len(allowed_to_switch("dddddccccc")) == 5
 
-    def test_one_engine_alone_goes_at_once(self):
-        assert len(allowed("c")) == 1
+    def test_a_single_engine_may_switch_at_once(self):
+        assert len(allowed_to_switch("c")) == 1
 
-    def test_those_without_all_pieces_hold_nobody_up(self):
-        assert len(allowed("-----ccccc")) == 5
+    def test_incomplete_engines_do_not_delay_the_others(self):
+        assert len(allowed_to_switch("-----ccccc")) == 5
 
-    def test_of_those_that_announced_together_the_first_in_order_go_on(self):
-        found = standings("ssssssssss")
-        going = [
-            standing.address
-            for standing in found
-            if may_switch(standing.address, 2, found, announced=True)
+    def test_the_first_in_order_go_on_after_simultaneous_announcements(self):
+        engines = switch_states("ssssssssss")
+        allowed = [
+            engine.address
+            for engine in engines
+            if may_switch(engine.address, 2, engines, announced=True)
         ]
-        in_order = sorted((one.address for one in found), key=lambda one: switch_rank(one, 2))
-        assert sorted(going) == sorted(in_order[:5])
+        ordered = sorted(
+            (state.address for state in engines), key=lambda address: switch_rank(address, 2)
+        )
+        assert sorted(allowed) == sorted(ordered[:5])
 
-    def test_every_listener_of_a_vm_has_the_same_place(self):
+    def test_all_listeners_of_a_vm_have_the_same_rank(self):
         assert switch_rank("10.0.0.1:80", 3) == switch_rank("10.0.0.1:7000", 3)
 
 
-class TestPieces:
-    def test_are_taken_only_with_their_digest(self):
+class TestPieceStore:
+    def test_adds_only_pieces_that_match_their_digest(self):
         store = PieceStore()
         version = store.find_or_create(
             NamedVersion(model="m", number=1, named=True, manifest=manifest())
@@ -129,10 +131,10 @@
         assert version.piece(0) == PIECES[0]
         assert not version.complete
 
-    def test_of_a_version_that_is_not_described_cannot_be_taken(self):
+    def test_does_not_create_a_version_without_a_manifest(self):
         assert PieceStore().find_or_create(NamedVersion(model="m", number=1, named=True)) is None
 
-    def test_of_old_versions_are_forgotten(self):
+    def test_discards_old_versions(self):
         store = PieceStore()
         for number in (1, 2, 3):
             store.find_or_create(
@@ -141,48 +143,48 @@
         assert [version.number for version in store.versions("m")] == [3, 2]
 
 
-class TestLinkGauge:
+class TestLinkMonitor:
     @pytest.mark.parametrize("lost", [False, True])
-    def test_slows_down_on_late_probes_and_those_lost_after_them(self, lost):
-        gauge = LinkMonitor(feed=None, peers=None, vm="v")
-        gauge.record_probe(0.5, lost=False)
+    def test_reduces_the_share_on_late_probes_and_on_probes_lost_after_them(self, lost):
+        monitor = LinkMonitor(feed=None, peers=None, vm="v")
+        monitor.record_probe(0.5, lost=False)
         for _ in range(20):
-            gauge.record_probe(0.5, lost=lost)
-        assert gauge.share == MIN_SHARE
+            monitor.record_probe(0.5, lost=lost)
+        assert monitor.share == MIN_SHARE
 
-    def test_a_control_replica_that_is_gone_says_nothing_of_the_link(self):
-        gauge = LinkMonitor(feed=None, peers=None, vm="v")
-        gauge.record_probe(0.01, lost=False)
+    def test_keeps_the_share_if_probes_are_lost_after_a_fast_one(self):
+        monitor = LinkMonitor(feed=None, peers=None, vm="v")
+        monitor.record_probe(0.01, lost=False)
         for _ in range(20):
-            gauge.record_probe(1.0, lost=True)
-        assert gauge.share == 1.0
-
-    def test_comes_back_slowly(self):
-        gauge = LinkMonitor(feed=None, peers=None, vm="v")
-        gauge.record_probe(0.5, lost=False)
-        slowed = gauge.share
-        gauge.record_probe(0.01, lost=False)
-        assert slowed < gauge.share < 1.0
+            monitor.record_probe(1.0, lost=True)
+        assert monitor.share == 1.0
+
+    def test_restores_the_share_gradually(self):
+        monitor = LinkMonitor(feed=None, peers=None, vm="v")
+        monitor.record_probe(0.5, lost=False)
+        reduced_share = monitor.share
+        monitor.record_probe(0.01, lost=False)
+        assert reduced_share < monitor.share < 1.0
         for _ in range(40):
-            gauge.record_probe(0.01, lost=False)
-        assert gauge.share == 1.0
+            monitor.record_probe(0.01, lost=False)
+        assert monitor.share == 1.0
 
-    def test_a_probe_on_its_way_tells_of_the_delay_before_it_arrives(self):
+    def test_counts_the_age_of_a_probe_in_flight_unless_the_replica_changed(self):
         async def run() -> tuple[float, float]:
-            feed, peers = FollowedFeed(), SlowPeers()
-            gauge = LinkMonitor(feed=feed, peers=peers, vm="v")
-            await gauge.start()
+            feed, peers = FollowedFeed(), UnresponsivePeers()
+            monitor = LinkMonitor(feed=feed, peers=peers, vm="v")
+            await monitor.start()
             await asyncio.wait_for(peers.asked.wait(), 2)
             await asyncio.sleep(0.05)
-            waiting_s = gauge.delay_s()
+            in_flight_s = monitor.delay_s()
             feed.source = "127.0.0.1:2"
-            elsewhere_s = gauge.delay_s()
-            await gauge.stop()
-            return waiting_s, elsewhere_s
+            other_source_s = monitor.delay_s()
+            await monitor.stop()
+            return in_flight_s, other_source_s
 
-        waiting_s, elsewhere_s = asyncio.run(run())
-        assert waiting_s >= 0.04
-        assert elsewhere_s == 0.0
+        in_flight_s, other_source_s = asyncio.run(run())
+        assert in_flight_s >= 0.04
+        assert other_source_s == 0.0
 
 
 class FollowedFeed:
@@ -190,8 +192,8 @@
         self.source = "127.0.0.1:1"
 
 
-class SlowPeers:
-    """Answers nothing."""
+class UnresponsivePeers:
+    """Never answers a call."""
 
     def __init__(self) -> None:
         self.asked = asyncio.Event()
--- a/tests/staging/test_swarm.py
+++ b/tests/staging/test_swarm.py
@@ -1,4 +1,4 @@
-"""A version on its way to fifteen stagers of three failure domains, in virtual time."""
+"""Tests of the fetch of a version by 15 stagers of three failure domains, in virtual time."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from tests.staging.swarm import PIECE_BYTES, PIECES, STAGER_BYTES_PER_S, Swarm, play
 
 PER_DOMAIN = 5
-LINK_S = PIECES * PIECE_BYTES / STAGER_BYTES_PER_S  # that one stager's link takes for all pieces
+LINK_S = PIECES * PIECE_BYTES / STAGER_BYTES_PER_S  # time of one stager's link for all pieces
 
 
 @pytest.fixture(scope="module")
-def calm() -> Swarm:
+def fast_swarm() -> Swarm:
     return play(seed=0, per_domain=PER_DOMAIN)
 
 
 class TestSwarm:
-    def test_has_the_version_everywhere_soon(self, calm):
-        assert calm.complete_s()[-1] <= 1.8 * LINK_S
+    def test_completes_at_all_stagers_in_time(self, fast_swarm):
+        assert fast_swarm.complete_s()[-1] <= 1.8 * LINK_S
 
-    def test_reads_little_more_than_one_copy_over_few_connections(self, calm):
-        assert calm.origin.sent <= 1.2 * PIECES
-        assert calm.origin.most_connections <= 16
-        assert calm.origin.refused == 0
+    def test_reads_about_one_copy_over_few_origin_connections(self, fast_swarm):
+        assert fast_swarm.origin.sent <= 1.2 * PIECES
+        assert fast_swarm.origin.max_connections <= 16
+        assert fast_swarm.origin.refused == 0
 
-    def test_brings_it_whole_though_some_links_are_narrow(self):
+    def test_completes_everywhere_although_some_links_are_slow(self):
         swarm = play(seed=1, per_domain=PER_DOMAIN, squeezed=2)
         times = swarm.complete_s()
         assert times[len(times) // 2] <= 2 * LINK_S
