--- a/src/leadhollow/backend/engine_backoff.py
+++ b/src/leadhollow/backend/engine_backoff.py
@@ -12,7 +12,7 @@
 from leadhollow.codes import Code
 from leadhollow.decide.server_backoff import ServerBackoff
 from leadhollow.failure import Failure
-from leadhollow.http1.decimals import read_decimal_text
+from leadhollow.http1.decimal_fields import parse_decimal_text
 from leadhollow.kernel import clocks
 from leadhollow.observe.logs import get_logger
 
@@ -42,7 +42,7 @@
             if self._backoff is not None and self._backoff.ended_by(attempt):
                 self._backoff = None
             return
-        backoff_s = read_decimal_text(values)
+        backoff_s = parse_decimal_text(values)
         if backoff_s is None:
             self._record_malformed()
         elif backoff_s:
--- a/src/leadhollow/backend/engine_limit.py
+++ b/src/leadhollow/backend/engine_limit.py
@@ -13,7 +13,7 @@
 from leadhollow.decide.limit_table import LimitTable
 from leadhollow.decide.send_limiter import SendLimiter
 from leadhollow.failure import Failure
-from leadhollow.http1.decimals import read_decimal_text
+from leadhollow.http1.decimal_fields import parse_decimal_text
 from leadhollow.kernel import clocks
 from leadhollow.observe.logs import get_logger
 
@@ -51,7 +51,7 @@
             When the request was sent, by ``clocks.elapsed_s``, which counts suspensions of the
             machine.
         """
-        per_s = read_decimal_text(values)
+        per_s = parse_decimal_text(values)
         if per_s is not None:
             changed = self._table.record_limit(ENGINE, per_s=per_s, received_s=clocks.elapsed_s())
         elif values:
--- a/src/leadhollow/control/control_listener.py
+++ b/src/leadhollow/control/control_listener.py
@@ -72,7 +72,7 @@
         await self._server.stop()
 
     async def _handle(self, request: IncomingRequest, reply: ReplyWriter) -> None:
-        body = await request.body.read_whole(MAX_BODY_BYTES)
+        body = await request.body.read_all(MAX_BODY_BYTES)
         if body.is_err():
             await self._send(reply, self._dialect.error_response(body.unwrap_err()))
             return
--- a/src/leadhollow/control/manifests.py
+++ b/src/leadhollow/control/manifests.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from leadhollow.http1.fetch import HttpCaller
+from leadhollow.http1.fetch import HttpFetcher
 from leadhollow.kernel.task_service import TaskService
 from leadhollow.observe.logs import get_logger
 from leadhollow.routing.model import ServiceRecord
@@ -47,7 +47,7 @@
         self._replica = replica
         self._gateway = gateway
         self._dialect = dialect
-        self._http = HttpCaller()
+        self._http = HttpFetcher()
         super().__init__()
 
     async def _work(self) -> None:
--- a/src/leadhollow/forward/exchange.py
+++ b/src/leadhollow/forward/exchange.py
@@ -17,7 +17,7 @@
 from leadhollow.forward.dialect import CallDialect, DispatchMetadata, ResponseMetadata
 from leadhollow.forward.pool import CONNECT_TIMEOUT_S, ConnectionPool
 from leadhollow.forward.request_body import RequestBody
-from leadhollow.http1.client_connection import Answer, ClientConnection
+from leadhollow.http1.client_connection import ClientConnection, IncomingResponse
 from leadhollow.http1.messages import Framing, RequestHead
 from leadhollow.kernel import active_time, clocks
 from leadhollow.observe.logs import get_logger
@@ -68,7 +68,7 @@
         address: str,
         connection: ClientConnection,
         pool: ConnectionPool,
-        response: Answer,
+        response: IncomingResponse,
         metadata: ResponseMetadata,
         sender: asyncio.Task[Result[None, Failure]] | None,
     ) -> None:
@@ -95,7 +95,7 @@
             return
         self.closed = True
         sent = self._sender is None or (self._sender.done() and not self._sender.cancelled())
-        if sent and self.response.body.ended:
+        if sent and self.response.body.complete:
             self._pool.release(self.address, self._connection)
         else:
             self._stop()
@@ -194,7 +194,7 @@
             for name, value in body.framing_fields:
                 headers.add(name, value)
             sent_head = RequestHead(method=head.method, target=head.target, headers=headers)
-            connection.begin(sent_head.encode(), method=head.method)
+            connection.begin_request(sent_head.encode(), method=head.method)
             if body.complete:
                 await body.send(connection)
             else:
@@ -225,7 +225,7 @@
     def _check_silence(self, address: str, connection: ClientConnection, sent_s: float) -> None:
         """Close the idle connections to a server if it was silent on a reused connection."""
         silent_s = active_time.heard_s() - sent_s
-        if connection.exchanges > 1 and connection.usable and silent_s > SILENT_CONNECTION_S:
+        if connection.exchange_count > 1 and connection.usable and silent_s > SILENT_CONNECTION_S:
             log.info(
                 "closed idle connections to a silent server",
                 address=address,
@@ -241,13 +241,13 @@
         *,
         sent_s: float | None,
         call: OwnCall,
-    ) -> Result[tuple[Answer, ResponseMetadata], Failure]:
+    ) -> Result[tuple[IncomingResponse, ResponseMetadata], Failure]:
         """Read responses until the one to this request, skipping those to earlier requests.
 
         The listeners get the metadata of skipped responses too.
         """
         for _ in range(MAX_STRAY_RESPONSES):
-            read = await connection.read_answer()
+            read = await connection.read_response()
             if read.is_err():
                 return Err(read.unwrap_err())
             response = read.unwrap()
@@ -274,7 +274,7 @@
     def _notify(
         self,
         server: Server,
-        response: Answer,
+        response: IncomingResponse,
         metadata: ResponseMetadata,
         *,
         sent_s: float | None,
@@ -287,7 +287,7 @@
             listener.record_response(server, metadata, sent_s=sent_s, call=call)
 
 
-async def _skip(response: Answer) -> Result[None, Failure]:
+async def _skip(response: IncomingResponse) -> Result[None, Failure]:
     while True:
         read = await response.body.read()
         if read.is_err():
--- a/src/leadhollow/http1/body.py
+++ b/src/leadhollow/http1/body.py
@@ -24,7 +24,16 @@
         Stop and continue to read the socket.
     """
 
-    __slots__ = ("_failure", "_pause", "_paused", "_pieces", "_resume", "_waiter", "ended", "held")
+    __slots__ = (
+        "_failure",
+        "_pause",
+        "_paused",
+        "_pieces",
+        "_resume",
+        "_waiter",
+        "complete",
+        "buffered_bytes",
+    )
 
     def __init__(self, *, pause: Callable[[], None], resume: Callable[[], None]) -> None:
         self._pieces: deque[bytes] = deque()
@@ -33,16 +42,16 @@
         self._paused = False
         self._failure: Failure | None = None
         self._waiter: asyncio.Future[None] | None = None
-        self.ended = False
-        self.held = 0
+        self.complete = False
+        self.buffered_bytes = 0
 
     def feed(self, data: bytes) -> None:
         """Take bytes from the connection."""
-        if self.ended or self._failure is not None:
+        if self.complete or self._failure is not None:
             return
         self._pieces.append(data)
-        self.held += len(data)
-        if self.held > PAUSE_ABOVE_BYTES and not self._paused:
+        self.buffered_bytes += len(data)
+        if self.buffered_bytes > PAUSE_ABOVE_BYTES and not self._paused:
             self._paused = True
             self._pause()
         self._wake()
@@ -50,17 +59,17 @@
     def finish(self) -> None:
         """Note that the body came whole."""
         if self._failure is None:
-            self.ended = True
+            self.complete = True
         self._wake()
 
     def fail(self, failure: Failure) -> None:
         """Note that the rest will never come; what was received before can still be read."""
-        if not self.ended and self._failure is None:
+        if not self.complete and self._failure is None:
             self._failure = failure
         self._wake()
 
     @property
-    def broken(self) -> bool:
+    def failed(self) -> bool:
         """Whether the body ended before it was whole."""
         return self._failure is not None
 
@@ -75,7 +84,7 @@
         while not self._pieces:
             if self._failure is not None:
                 return Err(self._failure)
-            if self.ended:
+            if self.complete:
                 return Ok(b"")
             self._waiter = asyncio.get_running_loop().create_future()
             try:
@@ -83,13 +92,13 @@
             finally:
                 self._waiter = None
         data = self._pieces.popleft()
-        self.held -= len(data)
-        if self._paused and self.held < RESUME_BELOW_BYTES:
+        self.buffered_bytes -= len(data)
+        if self._paused and self.buffered_bytes < RESUME_BELOW_BYTES:
             self._paused = False
             self._resume()
         return Ok(data)
 
-    async def read_whole(self, limit_bytes: int) -> Result[bytes, Failure]:
+    async def read_all(self, limit_bytes: int) -> Result[bytes, Failure]:
         """Give all that comes.
 
         Errors
@@ -115,7 +124,7 @@
     def discard(self) -> None:
         """Drop what is held and let the socket be read on."""
         self._pieces.clear()
-        self.held = 0
+        self.buffered_bytes = 0
         if self._paused:
             self._paused = False
             self._resume()
--- a/src/leadhollow/http1/client_connection.py
+++ b/src/leadhollow/http1/client_connection.py
@@ -36,7 +36,7 @@
 log = get_logger("http")
 
 
-class Answer:
+class IncomingResponse:
     """A response as it arrives."""
 
     __slots__ = ("body", "head")
@@ -58,18 +58,18 @@
     """
 
     __slots__ = (
-        "_answer",
-        "_answers",
-        "_drained",
-        "_fields",
-        "_lost",
+        "_response",
+        "_responses",
+        "_writable",
+        "_headers",
+        "_failure",
         "_method",
         "_outstanding",
         "_parser",
         "_reason",
         "_transport",
         "_waiter",
-        "exchanges",
+        "exchange_count",
         "idle_since_s",
         "keep_alive_s",
         "usable",
@@ -78,18 +78,18 @@
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
-        self._answers: deque[Answer] = deque()
-        self._answer: Answer | None = None
+        self._responses: deque[IncomingResponse] = deque()
+        self._response: IncomingResponse | None = None
         self._waiter: asyncio.Future[None] | None = None
-        self._lost: Failure | None = None
-        self._fields = Headers()
+        self._failure: Failure | None = None
+        self._headers = Headers()
         self._reason = b""
         self._method = b"GET"
         self._outstanding = False
-        self._drained = asyncio.Event()
-        self._drained.set()
+        self._writable = asyncio.Event()
+        self._writable.set()
         self.usable = True
-        self.exchanges = 0
+        self.exchange_count = 0
         self.idle_since_s = 0.0
         self.keep_alive_s: float | None = None
 
@@ -112,7 +112,7 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._break(Failure(code=Code.ENGINE_FAILED, detail=f"no HTTP answer: {error}"))
+            self._fail(Failure(code=Code.ENGINE_FAILED, detail=f"no HTTP answer: {error}"))
             self.close()
 
     def eof_received(self) -> bool:
@@ -124,34 +124,34 @@
         error = self._socket_error()
         if error:
             detail = f"the connection broke: {os.strerror(error)}"
-            self._break(Failure(code=Code.BACKEND_LOST, detail=detail))
+            self._fail(Failure(code=Code.BACKEND_LOST, detail=detail))
             return False
-        answer = self._answer
+        answer = self._response
         if answer is not None and answer.head.framing is Framing.UNTIL_CLOSE:
             answer.body.finish()
-            self._answer = None
-        self._break(Failure(code=Code.BACKEND_LOST, detail="the connection was closed"))
+            self._response = None
+        self._fail(Failure(code=Code.BACKEND_LOST, detail="the connection was closed"))
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Note a reset, or the end that was announced."""
         self.usable = False
         detail = "the connection was closed" if exc is None else f"the connection broke: {exc}"
-        self._break(Failure(code=Code.BACKEND_LOST, detail=detail))
+        self._fail(Failure(code=Code.BACKEND_LOST, detail=detail))
 
     def pause_writing(self) -> None:
         """Make writers wait."""
-        self._drained.clear()
+        self._writable.clear()
 
     def resume_writing(self) -> None:
         """Let writers go on."""
-        self._drained.set()
+        self._writable.set()
 
     # the parser's callbacks
 
     def on_message_begin(self) -> None:
         """Begin an answer."""
-        self._fields = Headers()
+        self._headers = Headers()
         self._reason = b""
 
     def on_status(self, reason: bytes) -> None:
@@ -160,51 +160,51 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a field."""
-        self._fields.add(name, value)
+        self._headers.add(name, value)
 
     def on_headers_complete(self) -> None:
         """Offer the answer to whoever waits; interim answers are skipped."""
         status = self._parser.get_status_code()
         if status < HTTPStatus.OK:
             return
-        framing = response_framing(status=status, method=self._method, headers=self._fields)
+        framing = response_framing(status=status, method=self._method, headers=self._headers)
         head = ResponseHead(
-            status=status, reason=self._reason, headers=self._fields, framing=framing
+            status=status, reason=self._reason, headers=self._headers, framing=framing
         )
         body = IncomingBody(pause=self._pause_reading, resume=self._resume_reading)
-        self._answer = Answer(head=head, body=body)
-        self.keep_alive_s = _keep_alive_s(self._fields)
+        self._response = IncomingResponse(head=head, body=body)
+        self.keep_alive_s = _keep_alive_s(self._headers)
         if self._method == b"HEAD":  # the parser would wait for a body that never comes
             self.usable = False
             body.finish()
-            self._answer = None
-            self._answers.append(Answer(head=head, body=body))
+            self._response = None
+            self._responses.append(IncomingResponse(head=head, body=body))
         else:
-            self._answers.append(self._answer)
+            self._responses.append(self._response)
         self._wake()
 
     def on_body(self, data: bytes) -> None:
         """Take a part of the body."""
-        if self._answer is not None:
-            self._answer.body.feed(data)
+        if self._response is not None:
+            self._response.body.feed(data)
 
     def on_message_complete(self) -> None:
         """Note that the answer is whole."""
-        if self._answer is None:
+        if self._response is None:
             return
         if not self._parser.should_keep_alive():
             self.usable = False
-        self._answer.body.finish()
-        self._answer = None
+        self._response.body.finish()
+        self._response = None
 
     # the caller's side
 
-    def begin(self, head: bytes, *, method: bytes) -> None:
+    def begin_request(self, head: bytes, *, method: bytes) -> None:
         """Send the head of a request."""
         assert self._transport is not None
         self._outstanding = True
         self._method = method
-        self.exchanges += 1
+        self.exchange_count += 1
         self._transport.write(head)
 
     async def write(self, data: bytes) -> None:
@@ -212,10 +212,10 @@
         if self._transport is None or self._transport.is_closing():
             return
         self._transport.write(data)
-        if not self._drained.is_set():
-            await self._drained.wait()
+        if not self._writable.is_set():
+            await self._writable.wait()
 
-    async def read_answer(self) -> Result[Answer, Failure]:
+    async def read_response(self) -> Result[IncomingResponse, Failure]:
         """Wait for the head of the next answer.
 
         Errors
@@ -225,21 +225,21 @@
         ENGINE_FAILED
             What came is no HTTP.
         """
-        while not self._answers:
-            if self._lost is not None:
-                return Err(self._lost)
+        while not self._responses:
+            if self._failure is not None:
+                return Err(self._failure)
             self._waiter = asyncio.get_running_loop().create_future()
             try:
                 await self._waiter
             finally:
                 self._waiter = None
-        return Ok(self._answers.popleft())
+        return Ok(self._responses.popleft())
 
     def end_exchange(self) -> None:
         """Note that the request and its answer are whole; the connection may be used again."""
         self._outstanding = False
         self.idle_since_s = clocks.elapsed_s()
-        if self._answers or self._answer is not None:
+        if self._responses or self._response is not None:
             self.close()
 
     def close(self) -> None:
@@ -264,13 +264,13 @@
             return 0
         return int(opened.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
 
-    def _break(self, failure: Failure) -> None:
-        if self._lost is None:
-            self._lost = failure
-        if self._answer is not None:
-            self._answer.body.fail(failure)
-            self._answer = None
-        self._drained.set()
+    def _fail(self, failure: Failure) -> None:
+        if self._failure is None:
+            self._failure = failure
+        if self._response is not None:
+            self._response.body.fail(failure)
+            self._response = None
+        self._writable.set()
         self._wake()
 
     def _wake(self) -> None:
--- a/src/leadhollow/http1/fetch.py
+++ b/src/leadhollow/http1/fetch.py
@@ -9,17 +9,17 @@
 from leadhollow.http1.client_connection import ClientConnection, open_connection
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import RequestHead, ResponseHead
-from leadhollow.http1.peer_rests import PeerRests
+from leadhollow.http1.peer_backoffs import PeerBackoffs
 from leadhollow.kernel import clocks
 from leadhollow.kernel.active_time import active_timeout
 from leadhollow.settings.address import Address
 
-LARGEST_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 IDLE_REUSE_S = 1.0  # well below the shortest idle timeout that a server may have
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
 
-class HttpAnswer:
+class HttpResponse:
     """A whole answer."""
 
     __slots__ = ("body", "head")
@@ -34,7 +34,7 @@
         return self.head.status
 
 
-class HttpCaller:
+class HttpFetcher:
     """Sends requests to one address after the other, keeping a connection for each in use.
 
     An address that asked for rest gets nothing until that is over.
@@ -45,12 +45,12 @@
         Time in which a connection must open.
     """
 
-    __slots__ = ("_connect_timeout_s", "_idle", "_rests")
+    __slots__ = ("_connect_timeout_s", "_idle", "_backoffs")
 
     def __init__(self, *, connect_timeout_s: float = DEFAULT_CONNECT_TIMEOUT_S) -> None:
         self._connect_timeout_s = connect_timeout_s
         self._idle: dict[str, list[ClientConnection]] = {}
-        self._rests = PeerRests()
+        self._backoffs = PeerBackoffs()
 
     async def fetch(
         self,
@@ -61,7 +61,7 @@
         timeout_s: float,
         body: bytes = b"",
         content_type: str = "application/json",
-    ) -> Result[HttpAnswer, Failure]:
+    ) -> Result[HttpResponse, Failure]:
         """Send a request and read the whole answer.
 
         Errors
@@ -73,7 +73,7 @@
         SERVER_RESTS
             It asked for rest; nothing was sent.
         """
-        left_s = self._rests.left_s(address)
+        left_s = self._backoffs.remaining_s(address)
         if left_s > 0:
             detail = f"{address} wants rest for {left_s:.1f} s more"
             return Err(Failure(code=Code.SERVER_RESTS, detail=detail))
@@ -83,9 +83,9 @@
         except TimeoutError:
             return Err(Failure(code=Code.PEER_TIMEOUT, detail=f"{address}{target}"))
 
-    def forget_rest(self, address: Address) -> None:
+    def clear_backoff(self, address: Address) -> None:
         """Note that another process has an address: what the former one asked for is over."""
-        self._rests.forget(address)
+        self._backoffs.forget(address)
 
     def close(self) -> None:
         """Close idle connections."""
@@ -96,7 +96,7 @@
 
     async def _exchange(
         self, method: str, address: Address, target: str, body: bytes, content_type: str
-    ) -> Result[HttpAnswer, Failure]:
+    ) -> Result[HttpResponse, Failure]:
         opened = await self._connection(address)
         if opened.is_err():
             return Err(opened.unwrap_err())
@@ -108,17 +108,17 @@
         head = RequestHead(method=method.encode(), target=target.encode(), headers=headers)
         done = False
         try:
-            connection.begin(head.encode() + body, method=head.method)
-            answered = await connection.read_answer()
+            connection.begin_request(head.encode() + body, method=head.method)
+            answered = await connection.read_response()
             if answered.is_err():
                 return Err(_lost(address, target, answered.unwrap_err()))
             answer = answered.unwrap()
-            self._rests.note_answer(address, answer.head)
-            content = await answer.body.read_whole(LARGEST_ANSWER_BYTES)
+            self._backoffs.record_response(address, answer.head)
+            content = await answer.body.read_all(MAX_RESPONSE_BYTES)
             if content.is_err():
                 return Err(_lost(address, target, content.unwrap_err()))
             done = True
-            return Ok(HttpAnswer(head=answer.head, body=content.unwrap()))
+            return Ok(HttpResponse(head=answer.head, body=content.unwrap()))
         finally:
             if done:
                 self._keep(address, connection)
--- a/src/leadhollow/http1/peer_rests.py
+++ b/src/leadhollow/http1/peer_backoffs.py
@@ -4,19 +4,19 @@
 
 from http import HTTPStatus
 
-from leadhollow.http1.decimals import read_decimal
+from leadhollow.http1.decimal_fields import parse_decimal
 from leadhollow.http1.messages import ResponseHead
 from leadhollow.kernel import clocks
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.address import Address
 
 RETRY_AFTER = b"retry-after"
-ASKS_FOR_PATIENCE = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+BACKOFF_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 log = get_logger("peer")
 
 
-class PeerRests:
+class PeerBackoffs:
     """Rests by address; the latest end holds, and suspensions count."""
 
     __slots__ = ("_until_s",)
@@ -24,18 +24,18 @@
     def __init__(self) -> None:
         self._until_s: dict[str, float] = {}
 
-    def note_answer(self, address: Address, head: ResponseHead) -> None:
+    def record_response(self, address: Address, head: ResponseHead) -> None:
         """Take what an answer asks for; a value that is no number of seconds asks for nothing."""
-        if head.status not in ASKS_FOR_PATIENCE:
+        if head.status not in BACKOFF_STATUSES:
             return
-        rest_s = read_decimal(head.headers.get_all(RETRY_AFTER))
+        rest_s = parse_decimal(head.headers.get_all(RETRY_AFTER))
         if not rest_s:
             return
         log.info("peer wants rest", address=str(address), status=head.status, rest_s=rest_s)
         until_s = clocks.elapsed_s() + rest_s
         self._until_s[str(address)] = max(until_s, self._until_s.get(str(address), until_s))
 
-    def left_s(self, address: Address) -> float:
+    def remaining_s(self, address: Address) -> float:
         """Give the time for which an address gets nothing."""
         until_s = self._until_s.get(str(address))
         if until_s is None:
--- a/src/leadhollow/http1/reply.py
+++ b/src/leadhollow/http1/reply.py
@@ -31,9 +31,9 @@
 
     __slots__ = (
         "_chunked",
-        "_drained",
+        "_writable",
         "_ends_with_connection",
-        "_left",
+        "_remaining_bytes",
         "_request",
         "_transport",
         "bytes_sent",
@@ -48,14 +48,14 @@
         *,
         transport: asyncio.Transport,
         request: RequestHead,
-        drained: asyncio.Event,
+        writable: asyncio.Event,
         close_after: bool,
     ) -> None:
         self._transport = transport
         self._request = request
-        self._drained = drained
+        self._writable = writable
         self._chunked = False
-        self._left: int | None = None
+        self._remaining_bytes: int | None = None
         self._ends_with_connection = False
         self.close_after = close_after
         self.started = False
@@ -89,7 +89,7 @@
         bodyless = self._request.method == b"HEAD" or status in BODYLESS_STATUSES
         if content_length is not None and status not in BODYLESS_STATUSES:
             lines.append(b"Content-Length: %d\r\n" % content_length)
-        self._left = 0 if bodyless else content_length
+        self._remaining_bytes = 0 if bodyless else content_length
         if not bodyless and content_length is None:
             if self._request.http_1_0:
                 self.close_after = True
@@ -104,21 +104,23 @@
 
     async def write(self, data: bytes) -> None:
         """Write a part of the body; waits while the caller reads slowly."""
-        if not data or self._left == 0:
+        if not data or self._remaining_bytes == 0:
             return
-        if self._left is not None:
-            data = data[: self._left]
-            self._left -= len(data)
+        if self._remaining_bytes is not None:
+            data = data[: self._remaining_bytes]
+            self._remaining_bytes -= len(data)
         self.bytes_sent += len(data)
         self._transport.write(encode_chunk(data) if self._chunked else data)
-        if not self._drained.is_set():
-            await self._drained.wait()
+        if not self._writable.is_set():
+            await self._writable.wait()
 
     def finish(self) -> None:
         """End the answer as complete."""
         if self.finished:
             return
-        if self._left:  # the declared length was not reached: this must not look complete
+        if (
+            self._remaining_bytes
+        ):  # the declared length was not reached: this must not look complete
             self.abort()
             return
         self.finished = True
--- a/src/leadhollow/http1/server.py
+++ b/src/leadhollow/http1/server.py
@@ -46,7 +46,9 @@
     @property
     def busy_count(self) -> int:
         """Connections on which a request is being answered, or an answer is still being read."""
-        return sum(1 for connection in self._connections if connection.busy or connection.unsent)
+        return sum(
+            1 for connection in self._connections if connection.busy or connection.has_unsent_bytes
+        )
 
     async def start(self) -> Result[None, Failure]:
         """Open the listener.
@@ -98,13 +100,13 @@
         self.stop_accepting()
         await asyncio.sleep(0)
         for connection in list(self._connections):
-            connection.cut()
+            connection.abort()
 
     def _make_connection(self) -> ServerConnection:
         return ServerConnection(
             handler=self._handler,
             limits=self._limits,
-            closing=lambda: self._closing,
+            is_closing=lambda: self._closing,
             connections=self._connections,
         )
 
--- a/src/leadhollow/http1/server_connection.py
+++ b/src/leadhollow/http1/server_connection.py
@@ -94,21 +94,21 @@
 
     __slots__ = (
         "_clock",
-        "_closing",
+        "_is_closing",
         "_connections",
         "_current",
-        "_drained",
+        "_writable",
         "_handler",
         "_head_bytes",
         "_header_timer",
         "_headers",
         "_idle_since_s",
         "_idle_timer",
-        "_idled",
+        "_idle_expired",
         "_in_head",
         "_limits",
         "_parser",
-        "_refusal",
+        "_error_status",
         "_requests",
         "_target",
         "_task",
@@ -122,19 +122,19 @@
         *,
         handler: Handler,
         limits: Callable[[], HttpLimits],
-        closing: Callable[[], bool],
+        is_closing: Callable[[], bool],
         connections: set[ServerConnection],
     ) -> None:
         self._handler = handler
         self._limits = limits
-        self._closing = closing
+        self._is_closing = is_closing
         self._connections = connections
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._task: asyncio.Task[None] | None = None
         self._requests: deque[IncomingRequest] = deque()
         self._current: IncomingRequest | None = None
-        self._refusal: HTTPStatus | None = None
+        self._error_status: HTTPStatus | None = None
         self._target = b""
         self._headers = Headers()
         self._head_bytes = 0
@@ -143,10 +143,10 @@
         self._clock: ActiveClock = active_time.clock()
         self._idle_since_s: float | None = None  # while no request is read or answered
         self._idle_timer: ActiveTimer | None = None
-        self._idled = False
+        self._idle_expired = False
         self._wake = asyncio.Event()
-        self._drained = asyncio.Event()
-        self._drained.set()
+        self._writable = asyncio.Event()
+        self._writable.set()
         self.busy = False
 
     # asyncio's callbacks
@@ -157,26 +157,26 @@
         self._transport = socket_transport
         self._connections.add(self)
         self._task = asyncio.get_running_loop().create_task(self._run(socket_transport))
-        self._watch_idle(self._idle_s())
+        self._schedule_idle_check(self._idle_s())
 
     def data_received(self, data: bytes) -> None:
         """Parse what arrived."""
-        if self._refusal is not None:
+        if self._error_status is not None:
             return
         if self._in_head or self._current is None:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(HTTPStatus.BAD_REQUEST)  # nothing but HTTP/1.1 is spoken here
+            self._reject(HTTPStatus.BAD_REQUEST)  # nothing but HTTP/1.1 is spoken here
         except httptools.HttpParserError as error:
             log.warning("request not understood", error=str(error))
-            self._refuse(HTTPStatus.BAD_REQUEST)
+            self._reject(HTTPStatus.BAD_REQUEST)
         if self._in_head and self._head_bytes > self._limits().header_bytes:
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
         if self._in_head and self._header_timer is None:
             self._header_timer = ActiveTimer(
-                delay_s=self._limits().header_timeout_ms / 1000, callback=self._on_slow_head
+                delay_s=self._limits().header_timeout_ms / 1000, callback=self._on_header_timeout
             )
 
     def eof_received(self) -> bool:
@@ -194,11 +194,11 @@
 
     def pause_writing(self) -> None:
         """Make writers wait."""
-        self._drained.clear()
+        self._writable.clear()
 
     def resume_writing(self) -> None:
         """Let writers go on."""
-        self._drained.set()
+        self._writable.set()
 
     # the parser's callbacks
 
@@ -220,10 +220,10 @@
         """Hand the request on."""
         self._in_head = False
         self._stop_header_timer()
-        if self._head_bytes > self._limits().header_bytes and self._head_size() > (
+        if self._head_bytes > self._limits().header_bytes and self._encoded_head_bytes() > (
             self._limits().header_bytes
         ):
-            self._refuse(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
             return
         self._head_bytes = 0
         head = RequestHead(
@@ -263,11 +263,11 @@
             self._transport.close()
 
     @property
-    def unsent(self) -> bool:
+    def has_unsent_bytes(self) -> bool:
         """Whether bytes of an answer wait for the caller to read."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End at once; what the caller has not read is dropped."""
         if self._transport is not None:
             self._transport.abort()
@@ -283,8 +283,8 @@
                 self.busy = False
                 if closed:
                     break
-            if self._refusal is not None:
-                await self._answer_refusal(transport, self._refusal)
+            if self._error_status is not None:
+                await self._send_error(transport, self._error_status)
         except asyncio.CancelledError:
             if not transport.is_closing():
                 transport.abort()
@@ -298,40 +298,40 @@
     async def _wait_request(self) -> bool:
         """Wait for the next request; False where the connection ends without one."""
         while not self._requests:
-            if self._refusal is not None or (self._idled and not self._in_head):
+            if self._error_status is not None or (self._idle_expired and not self._in_head):
                 return False
-            self._idled = False
+            self._idle_expired = False
             self._wake.clear()
             self._idle_since_s = self._clock.active_s()
             await self._wake.wait()
             self._idle_since_s = None
-        self._idled = False
+        self._idle_expired = False
         return True
 
     def _idle_s(self) -> float:
         return self._limits().idle_timeout_ms / 1000
 
-    def _watch_idle(self, delay_s: float) -> None:
+    def _schedule_idle_check(self, delay_s: float) -> None:
         """Look later whether the connection is idle: requests set no timer of their own."""
-        self._idle_timer = ActiveTimer(delay_s=delay_s, callback=self._look_idle)
+        self._idle_timer = ActiveTimer(delay_s=delay_s, callback=self._check_idle)
 
-    def _look_idle(self) -> None:
+    def _check_idle(self) -> None:
         if self._idle_since_s is None or self._in_head:
-            self._watch_idle(self._idle_s())
+            self._schedule_idle_check(self._idle_s())
             return
         left_s = self._idle_s() - (self._clock.active_s() - self._idle_since_s)
         if left_s <= 0:
-            self._idled = True
+            self._idle_expired = True
             self._wake.set()
-        self._watch_idle(left_s if left_s > 0 else self._idle_s())
+        self._schedule_idle_check(left_s if left_s > 0 else self._idle_s())
 
     async def _serve(self, transport: asyncio.Transport, request: IncomingRequest) -> bool:
         """Answer one request; True where the connection must end."""
         reply = ReplyWriter(
             transport=transport,
             request=request.head,
-            drained=self._drained,
-            close_after=not request.keep_alive or self._closing(),
+            writable=self._writable,
+            close_after=not request.keep_alive or self._is_closing(),
         )
         try:
             await self._handler(request, reply)
@@ -345,46 +345,46 @@
         if reply.close_after:
             await self._linger(request)
             return True
-        if not request.body.ended:
-            await self._skip_body(request)
-        return request.body.broken
+        if not request.body.complete:
+            await self._drain_body(request)
+        return request.body.failed
 
-    async def _skip_body(self, request: IncomingRequest) -> None:
+    async def _drain_body(self, request: IncomingRequest) -> None:
         """Read the rest of a body that was answered early."""
-        while not request.body.ended and not request.body.broken:
+        while not request.body.complete and not request.body.failed:
             read = await request.body.read()
             if read.is_err() or not read.unwrap():
                 return
 
     async def _linger(self, request: IncomingRequest) -> None:
         """Let the caller take its answer before bytes that nobody read reset the connection."""
-        if request.body.ended:
+        if request.body.complete:
             return
         try:
             async with active_timeout(LINGER_S):
-                await self._skip_body(request)
+                await self._drain_body(request)
         except TimeoutError:
             return
 
-    async def _answer_refusal(self, transport: asyncio.Transport, status: HTTPStatus) -> None:
+    async def _send_error(self, transport: asyncio.Transport, status: HTTPStatus) -> None:
         head = RequestHead(method=b"GET", target=b"/", headers=Headers())
         reply = ReplyWriter(
-            transport=transport, request=head, drained=self._drained, close_after=True
+            transport=transport, request=head, writable=self._writable, close_after=True
         )
         await reply.send(status, Headers())
 
-    def _refuse(self, status: HTTPStatus) -> None:
-        if self._refusal is None:
-            self._refusal = status
+    def _reject(self, status: HTTPStatus) -> None:
+        if self._error_status is None:
+            self._error_status = status
         if self._current is not None:
             self._current.body.fail(Failure(code=Code.REQUEST_MALFORMED))
         self._wake.set()
 
-    def _on_slow_head(self) -> None:
+    def _on_header_timeout(self) -> None:
         if self._in_head:
-            self._refuse(HTTPStatus.REQUEST_TIMEOUT)
+            self._reject(HTTPStatus.REQUEST_TIMEOUT)
 
-    def _head_size(self) -> int:
+    def _encoded_head_bytes(self) -> int:
         fields = sum(len(name) + len(value) + 4 for name, value in self._headers)
         return len(self._target) + fields
 
--- a/src/leadhollow/observe/logs.py
+++ b/src/leadhollow/observe/logs.py
@@ -13,7 +13,7 @@
 from absl import logging as absl_logging
 
 from leadhollow.observe.line_output import LineOutput, LineStream
-from leadhollow.observe.outlets import open_outlet
+from leadhollow.observe.sinks import open_sink
 
 
 class LogFormat(Enum):
@@ -106,8 +106,8 @@
     """
     if sys.stderr is not None:
         descriptor = sys.stderr.fileno()
-        output = LineOutput(outlet=open_outlet(descriptor), notice=_dropped_notice)
-        atexit.register(output.finish)
+        output = LineOutput(sink=open_sink(descriptor), drop_notice=_dropped_notice)
+        atexit.register(output.flush_at_exit)
         sys.stderr = LineStream(output=output, descriptor=descriptor)
     configure_command_logs(log_format=log_format, level=level)
 
--- a/src/leadhollow/observe/outlets.py
+++ b/src/leadhollow/observe/sinks.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 
-class Outlet(Protocol):
+class Sink(Protocol):
     """Takes bytes."""
 
     def write(self, data: bytes) -> int:
@@ -28,7 +28,7 @@
         """
 
 
-class DirectOutlet:
+class DirectSink:
     """Writes to a file, or to a description of our own that does not block."""
 
     __slots__ = ("_descriptor",)
@@ -41,7 +41,7 @@
         return os.write(self._descriptor, data)
 
 
-class SocketOutlet:
+class SocketSink:
     """Writes to a socket; that it must not wait is said with each call."""
 
     __slots__ = ("_socket",)
@@ -54,7 +54,7 @@
         return self._socket.send(data, socket.MSG_DONTWAIT)
 
 
-class PolledOutlet:
+class PolledSink:
     """Asks before each write whether there is room, which holds for so much as is written at once.
 
     Another process that fills a shared pipe between the two can still make the write wait.
@@ -80,17 +80,17 @@
             return True  # asking is refused here; lines matter more than a wait
 
 
-def open_outlet(descriptor: int) -> Outlet:
+def open_sink(descriptor: int) -> Sink:
     """Find the way that fits what a descriptor stands for."""
     try:
         kind = stat.S_IFMT(os.fstat(descriptor).st_mode)
         if kind == stat.S_IFREG:
-            return DirectOutlet(descriptor=descriptor)
+            return DirectSink(descriptor=descriptor)
         if kind == stat.S_IFSOCK:
-            return SocketOutlet(descriptor=descriptor)
-        return DirectOutlet(descriptor=_reopen(descriptor))
+            return SocketSink(descriptor=descriptor)
+        return DirectSink(descriptor=_reopen(descriptor))
     except OSError:
-        return PolledOutlet(descriptor=descriptor)
+        return PolledSink(descriptor=descriptor)
 
 
 def _reopen(descriptor: int) -> int:
--- a/src/leadhollow/observe/unknown_fields.py
+++ b/src/leadhollow/observe/unknown_fields.py
@@ -7,10 +7,10 @@
 from leadhollow.http1.headers import Headers
 from leadhollow.observe.logs import get_logger
 
-MOST_NAMES = 64
+MAX_NAMES = 64
 """Names that are remembered of one kind of message, so that no sender can fill the logs."""
 
-SHOWN_CHARACTERS = 64
+MAX_LOGGED_CHARACTERS = 64
 
 log = get_logger("fields")
 
@@ -42,30 +42,30 @@
         self._seen: set[str | bytes] = set()
         self.reported: set[str] = set()
 
-    def note_headers(self, headers: Headers, *, sender: str) -> bool:
+    def check_headers(self, headers: Headers, *, sender: str) -> bool:
         """Note the header fields of a message; False where it has none but usual ones."""
         seen = self._seen
         unusual = [name for name, _ in headers if name not in seen]
         for name in unusual:
-            self._note(name, name.decode("latin-1").lower(), sender)
+            self._check(name, name.decode("latin-1").lower(), sender)
         return bool(unusual)
 
-    def note_members(self, names: Iterable[str], *, sender: str) -> None:
+    def check_members(self, names: Iterable[str], *, sender: str) -> None:
         """Note the members of a JSON object."""
         for name in names:
             if name not in self._seen:
-                self._note(name, name, sender)
+                self._check(name, name, sender)
 
-    def _note(self, raw: str | bytes, name: str, sender: str) -> None:
-        if len(self._seen) < MOST_NAMES and name not in self._unusual:
+    def _check(self, raw: str | bytes, name: str, sender: str) -> None:
+        if len(self._seen) < MAX_NAMES and name not in self._unusual:
             self._seen.add(raw)
-        if name in self._known or name in self.reported or len(self.reported) >= MOST_NAMES:
+        if name in self._known or name in self.reported or len(self.reported) >= MAX_NAMES:
             return
         self.reported.add(name)
         log.warning(
             "unknown field",
             message_kind=self._message,
-            field=name[:SHOWN_CHARACTERS],
+            field=name[:MAX_LOGGED_CHARACTERS],
             sender=sender,
         )
 
--- a/src/leadhollow/platform/callers.py
+++ b/src/leadhollow/platform/callers.py
@@ -9,7 +9,7 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.forward.dialect import DispatchMetadata, RequestMetadata, ResponseMetadata
-from leadhollow.http1.decimals import read_decimal
+from leadhollow.http1.decimal_fields import parse_decimal
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import RequestHead, ResponseHead
 from leadhollow.observe.unknown_fields import UnknownFields
@@ -110,12 +110,12 @@
         headers = head.headers
         attempt_id = headers.get(ATTEMPT_ID)
         instance = headers.text(INSTANCE_ID)
-        unusual = self._unknown.note_headers(headers, sender=instance)
+        unusual = self._unknown.check_headers(headers, sender=instance)
         limits = headers.get_all(SERVER_LIMIT) if unusual else []
-        limit_per_s = read_decimal(limits)
+        limit_per_s = parse_decimal(limits)
         turned_away = unusual and head.status == HTTPStatus.SERVICE_UNAVAILABLE
         rests = headers.get_all(RETRY_AFTER) if turned_away else []
-        rest_s = read_decimal(rests)
+        rest_s = parse_decimal(rests)
         return ResponseMetadata(
             attempt_id=None if attempt_id is None else attempt_id.decode("latin-1"),
             limit_per_s=limit_per_s,
--- a/src/leadhollow/platform/control.py
+++ b/src/leadhollow/platform/control.py
@@ -113,7 +113,7 @@
             if method == "PUT":
                 heartbeat = _read_heartbeat(instance, body, now_s)
                 if heartbeat.is_ok():
-                    self._unknown.note_members(_members.decode(body), sender=instance)
+                    self._unknown.check_members(_members.decode(body), sender=instance)
                 return heartbeat
             if method == "DELETE":
                 return _read_farewell(instance, body)
--- a/src/leadhollow/staging/engine_client.py
+++ b/src/leadhollow/staging/engine_client.py
@@ -6,7 +6,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
-from leadhollow.http1.fetch import HttpAnswer, HttpCaller
+from leadhollow.http1.fetch import HttpFetcher, HttpResponse
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.address import Address
 from leadhollow.staging.engine_dialect import EngineDialect, EngineReport, LoadOrder
@@ -27,7 +27,7 @@
     def __init__(self, *, address: Address, dialect: EngineDialect) -> None:
         self._address = address
         self._dialect = dialect
-        self._http = HttpCaller(connect_timeout_s=REPORT_TIMEOUT_S)
+        self._http = HttpFetcher(connect_timeout_s=REPORT_TIMEOUT_S)
 
     async def report(self) -> Result[EngineReport, Failure]:
         """Request the engine's report."""
@@ -68,7 +68,7 @@
 
     def clear_backoff(self) -> None:
         """Clear the back-off of the engine after it restarted."""
-        self._http.forget_rest(self._address)
+        self._http.clear_backoff(self._address)
 
     def close(self) -> None:
         """Close idle connections."""
@@ -76,7 +76,7 @@
 
     async def _fetch(
         self, method: str, target: str, timeout_s: float, *, body: bytes = b""
-    ) -> Result[HttpAnswer, Failure]:
+    ) -> Result[HttpResponse, Failure]:
         result = await self._http.fetch(
             method, self._address, target, timeout_s=timeout_s, body=body
         )
--- a/src/leadhollow/staging/origin_source.py
+++ b/src/leadhollow/staging/origin_source.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from leadhollow.http1.fetch import HttpCaller
+from leadhollow.http1.fetch import HttpFetcher
 from leadhollow.observe.logs import get_logger
 from leadhollow.settings.address import Address
 from leadhollow.weights.origin_dialect import OriginDialect
@@ -28,7 +28,7 @@
     def __init__(self, *, address: Callable[[], Address | None], dialect: OriginDialect) -> None:
         self._address = address
         self._dialect = dialect
-        self._http = HttpCaller()
+        self._http = HttpFetcher()
         self.bytes_read = 0
 
     async def piece(self, model: str, number: int, index: int) -> bytes | None:
--- a/src/leadhollow/wire/codec.py
+++ b/src/leadhollow/wire/codec.py
@@ -14,7 +14,7 @@
 from leadhollow.wire.messages import BODY_NUMBERS, BODY_TYPES, Body, FrameKind
 
 LENGTH = struct.Struct(">I")
-MAXIMUM_FRAME_BYTES = 20 * 1024 * 1024
+MAX_FRAME_BYTES = 20 * 1024 * 1024
 LAST_KIND = max(FrameKind)
 
 
--- a/src/leadhollow/wire/connection.py
+++ b/src/leadhollow/wire/connection.py
@@ -12,10 +12,10 @@
 from leadhollow.failure import Failure, failure_from_number
 from leadhollow.kernel.active_time import active_s, active_timeout
 from leadhollow.observe.logs import get_logger
-from leadhollow.wire.codec import LENGTH, MAXIMUM_FRAME_BYTES, Frame, decode_frame, encode_frame
+from leadhollow.wire.codec import LENGTH, MAX_FRAME_BYTES, Frame, decode_frame, encode_frame
 from leadhollow.wire.generated.ttypes import Hello
 from leadhollow.wire.handlers import CallHandler, HandlerTable, StreamHandler
-from leadhollow.wire.liveness import end_when_silent
+from leadhollow.wire.liveness import enable_dead_peer_detection
 from leadhollow.wire.messages import Body, FrameKind
 from leadhollow.wire.streams import CallStream, StreamSink
 
@@ -42,9 +42,9 @@
         "_calls",
         "_handlers",
         "_next_call_id",
-        "_part_s",
+        "_partial_frame_s",
         "_reader",
-        "_served",
+        "_handler_tasks",
         "_streams",
         "_writer",
         "closed",
@@ -65,12 +65,14 @@
         self._handlers = handlers
         self._calls: dict[int, asyncio.Future[Frame]] = {}
         self._streams: dict[int, CallStream] = {}
-        self._served: dict[int, asyncio.Task[None]] = {}
+        self._handler_tasks: dict[int, asyncio.Task[None]] = {}
         self._next_call_id = 1
-        self._part_s: float | None = None  # when the last bytes of an unfinished frame came
+        self._partial_frame_s: float | None = (
+            None  # when the last bytes of an unfinished frame came
+        )
         self.hello = hello
         self.closed = asyncio.Event()
-        end_when_silent(writer)
+        enable_dead_peer_detection(writer)
         self.peer_name = str(writer.get_extra_info("peername"))
 
     def write(self, frame: Frame) -> None:
@@ -84,21 +86,21 @@
             log.info("connection ended", peer=self.peer_name, failure=str(error))
             self.close()
             return
-        self._handlers.traffic.sent(type(frame.body), len(encoded))
+        self._handlers.traffic.record_sent(type(frame.body), len(encoded))
 
     @property
     def backlog_bytes(self) -> int:
         """Bytes that were written and that the socket has not taken yet."""
         return 0 if self.closed.is_set() else self._writer.transport.get_write_buffer_size()
 
-    def part_age_s(self) -> float | None:
+    def partial_frame_age_s(self) -> float | None:
         """Give the heard time since the last bytes of an unfinished frame; None without one.
 
         While that is short a large frame is on its way, and the peer is not silent.
         """
-        if self._part_s is None or self.closed.is_set():
+        if self._partial_frame_s is None or self.closed.is_set():
             return None
-        return active_s() - self._part_s
+        return active_s() - self._partial_frame_s
 
     async def drain(self) -> None:
         """Wait until the socket takes more."""
@@ -121,7 +123,7 @@
         """
         if self.closed.is_set():
             return Err(Failure(code=Code.PEER_LOST))
-        call_id = self._take_call_id()
+        call_id = self._allocate_call_id()
         answer: asyncio.Future[Frame] = asyncio.get_running_loop().create_future()
         self._calls[call_id] = answer
         self.write(Frame(kind=FrameKind.REQUEST, call_id=call_id, body=body))
@@ -138,10 +140,10 @@
 
     def stream(self, body: Body) -> CallStream:
         """Send a request whose answer is a sequence of bodies."""
-        call_id = self._take_call_id()
+        call_id = self._allocate_call_id()
         stream = CallStream(connection=self, call_id=call_id)
         if self.closed.is_set():
-            stream.put(_lost_frame(call_id))
+            stream.put(_peer_lost_frame(call_id))
             return stream
         self._streams[call_id] = stream
         self.write(Frame(kind=FrameKind.REQUEST, call_id=call_id, body=body))
@@ -151,7 +153,7 @@
         """Send a body that gets no answer."""
         self.write(Frame(kind=FrameKind.ONEWAY, call_id=0, body=body))
 
-    def forget(self, call_id: int, *, tell_peer: bool) -> None:
+    def drop_stream(self, call_id: int, *, tell_peer: bool) -> None:
         """Drop the interest in a streamed answer."""
         if self._streams.pop(call_id, None) is not None and tell_peer:
             self.write(Frame(kind=FrameKind.CANCEL, call_id=call_id))
@@ -160,28 +162,28 @@
         """Read frames until the connection ends; the connection's one task."""
         try:
             buffer = bytearray()
-            while data := await self._read_some():
+            while data := await self._read():
                 buffer += data
-                failure = self._take_frames(buffer)
-                self._part_s = active_s() if buffer else None
+                failure = self._process_frames(buffer)
+                self._partial_frame_s = active_s() if buffer else None
                 if failure is not None:
                     log.warning("connection ended", peer=self.peer_name, failure=str(failure))
                     break
         finally:
             self.close()
 
-    async def _read_some(self) -> bytes:
+    async def _read(self) -> bytes:
         try:
             return await self._reader.read(READ_BYTES)
         except OSError:
             return b""
 
-    def _take_frames(self, buffer: bytearray) -> Failure | None:
+    def _process_frames(self, buffer: bytearray) -> Failure | None:
         """Take all whole frames off a buffer: one wake of the task serves a burst of them."""
         start = 0
         while len(buffer) - start >= LENGTH.size:
             (size,) = LENGTH.unpack_from(buffer, start)
-            if size > MAXIMUM_FRAME_BYTES:
+            if size > MAX_FRAME_BYTES:
                 return Failure(code=Code.FRAME_TOO_LARGE, detail=f"{size} bytes")
             end = start + LENGTH.size + size
             if len(buffer) < end:
@@ -190,7 +192,7 @@
             start = end
             if decoded.is_ok():
                 frame = decoded.unwrap()
-                self._handlers.traffic.received(type(frame.body), size + LENGTH.size)
+                self._handlers.traffic.record_received(type(frame.body), size + LENGTH.size)
                 self._route(frame)
                 continue
             failure = decoded.unwrap_err()
@@ -204,14 +206,14 @@
         """Read the one frame of a greeting; None at the end of the connection."""
         try:
             (size,) = LENGTH.unpack(await self._reader.readexactly(LENGTH.size))
-            if size > MAXIMUM_FRAME_BYTES:
+            if size > MAX_FRAME_BYTES:
                 return Err(Failure(code=Code.FRAME_TOO_LARGE, detail=f"{size} bytes"))
             data = await self._reader.readexactly(size)
         except (OSError, asyncio.IncompleteReadError):
             return Ok(None)
         decoded = decode_frame(data)
         if decoded.is_ok():
-            self._handlers.traffic.received(type(decoded.unwrap().body), size + LENGTH.size)
+            self._handlers.traffic.record_received(type(decoded.unwrap().body), size + LENGTH.size)
         return decoded
 
     def close(self) -> None:
@@ -222,14 +224,14 @@
         self._writer.close()
         for call_id, answer in self._calls.items():
             if not answer.done():
-                answer.set_result(_lost_frame(call_id))
+                answer.set_result(_peer_lost_frame(call_id))
         for call_id, stream in self._streams.items():
-            stream.put(_lost_frame(call_id))
+            stream.put(_peer_lost_frame(call_id))
         self._streams.clear()
-        for task in list(self._served.values()):
+        for task in list(self._handler_tasks.values()):
             task.cancel()
 
-    def _take_call_id(self) -> int:
+    def _allocate_call_id(self) -> int:
         call_id = self._next_call_id
         self._next_call_id += 1
         return call_id
@@ -240,7 +242,7 @@
         elif frame.kind is FrameKind.ONEWAY:
             self._serve_oneway(frame)
         elif frame.kind is FrameKind.CANCEL:
-            task = self._served.get(frame.call_id)
+            task = self._handler_tasks.get(frame.call_id)
             if task is not None:
                 task.cancel()
         elif frame.call_id in self._streams:
@@ -257,9 +259,9 @@
         call_handler = self._handlers.call_handler(frame.body)
         stream_handler = self._handlers.stream_handler(frame.body)
         if call_handler is not None:
-            self._start(frame.call_id, self._serve_call(call_handler, frame))
+            self._start_handler(frame.call_id, self._serve_call(call_handler, frame))
         elif stream_handler is not None:
-            self._start(frame.call_id, self._serve_stream(stream_handler, frame))
+            self._start_handler(frame.call_id, self._serve_stream(stream_handler, frame))
         else:
             name = type(frame.body).__name__
             log.warning("no handler", peer=self.peer_name, body=name)
@@ -276,10 +278,10 @@
         except Exception:
             log.exception("handler failed", body=type(frame.body).__name__)
 
-    def _start(self, call_id: int, work: Coroutine[Any, Any, None]) -> None:
+    def _start_handler(self, call_id: int, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
-        self._served[call_id] = task
-        task.add_done_callback(lambda _: self._served.pop(call_id, None))
+        self._handler_tasks[call_id] = task
+        task.add_done_callback(lambda _: self._handler_tasks.pop(call_id, None))
 
     async def _serve_call(self, handler: CallHandler, frame: Frame) -> None:
         try:
@@ -315,7 +317,7 @@
         )
 
 
-def _lost_frame(call_id: int) -> Frame:
+def _peer_lost_frame(call_id: int) -> Frame:
     return Frame(
         kind=FrameKind.ERROR,
         call_id=call_id,
--- a/src/leadhollow/wire/peers.py
+++ b/src/leadhollow/wire/peers.py
@@ -19,7 +19,7 @@
 from leadhollow.wire.server import PROTOCOL_VERSION
 
 DIAL_TIMEOUT_MS = 1_000
-REDIAL_PAUSE_S = 0.2
+REDIAL_DELAY_S = 0.2
 
 log = get_logger("peers")
 
@@ -38,10 +38,10 @@
     __slots__ = (
         "_closed",
         "_connections",
-        "_failed_until_s",
+        "_no_dial_until_s",
         "_handlers",
         "_hello",
-        "_locks",
+        "_dial_locks",
         "_tasks",
         "_unreachable",
         "cut_addresses",
@@ -51,8 +51,8 @@
         self._hello = Hello(vm, failure_domain, token, PROTOCOL_VERSION)
         self._handlers = handlers
         self._connections: dict[str, Connection] = {}
-        self._failed_until_s: dict[str, float] = {}
-        self._locks: dict[str, asyncio.Lock] = {}
+        self._no_dial_until_s: dict[str, float] = {}
+        self._dial_locks: dict[str, asyncio.Lock] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
         self._unreachable: set[str] = set()  # of which this was logged
@@ -71,18 +71,18 @@
         existing = self._connections.get(address)
         if existing is not None and not existing.closed.is_set():
             return Ok(existing)
-        lock = self._locks.setdefault(address, asyncio.Lock())
+        lock = self._dial_locks.setdefault(address, asyncio.Lock())
         async with lock:
             existing = self._connections.get(address)
             if existing is not None and not existing.closed.is_set():
                 return Ok(existing)
             now_s = asyncio.get_running_loop().time()
-            if self._closed or now_s < self._failed_until_s.get(address, 0.0):
+            if self._closed or now_s < self._no_dial_until_s.get(address, 0.0):
                 return Err(Failure(code=Code.PEER_LOST, detail=f"{address} failed a moment ago"))
             dialled = await self._dial(address)
             if dialled.is_err():
-                self._failed_until_s[address] = now_s + REDIAL_PAUSE_S
-                self._note_unreachable(address, dialled.unwrap_err())
+                self._no_dial_until_s[address] = now_s + REDIAL_DELAY_S
+                self._record_unreachable(address, dialled.unwrap_err())
                 return dialled
             self._connections[address] = dialled.unwrap()
             if address in self._unreachable:
@@ -90,7 +90,7 @@
                 log.info("peer reached again", address=address)
             return dialled
 
-    def _note_unreachable(self, address: str, failure: Failure) -> None:
+    def _record_unreachable(self, address: str, failure: Failure) -> None:
         if address not in self._unreachable:
             self._unreachable.add(address)
             log.info("peer not reached", address=address, failure=str(failure))
@@ -111,11 +111,11 @@
         if existing is not None and not existing.closed.is_set():
             existing.oneway(body)
             return
-        task = asyncio.get_running_loop().create_task(self._post_dialled(address, body))
+        task = asyncio.get_running_loop().create_task(self._dial_and_post(address, body))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _post_dialled(self, address: str, body: Body) -> None:
+    async def _dial_and_post(self, address: str, body: Body) -> None:
         connected = await self.connection(address)
         if connected.is_ok():
             connected.unwrap().oneway(body)
@@ -154,7 +154,7 @@
                 answer = await connection.read_frame()
         except (OSError, TimeoutError) as error:
             return Err(Failure(code=Code.PEER_LOST, detail=f"{address}: {error or 'timeout'}"))
-        accepted = _check_greeting(address, answer)
+        accepted = _check_handshake(address, answer)
         if accepted.is_err():
             connection.close()
             return Err(accepted.unwrap_err())
@@ -164,7 +164,7 @@
         return Ok(connection)
 
 
-def _check_greeting(address: str, answer: Result[Frame | None, Failure]) -> Result[None, Failure]:
+def _check_handshake(address: str, answer: Result[Frame | None, Failure]) -> Result[None, Failure]:
     if answer.is_err():
         return Err(answer.unwrap_err())
     frame = answer.unwrap()
--- a/src/leadhollow/wire/server.py
+++ b/src/leadhollow/wire/server.py
@@ -19,7 +19,7 @@
 from leadhollow.wire.messages import FrameKind
 
 PROTOCOL_VERSION = 1
-GREETING_TIMEOUT_S = 5.0
+HANDSHAKE_TIMEOUT_S = 5.0
 
 log = get_logger("wire")
 
@@ -42,7 +42,7 @@
         """Open the listener; port 0 takes a free one."""
         try:
             self._server = await asyncio.start_server(
-                self._accepted, self.address.host, self.address.port, limit=2**20
+                self._on_accept, self.address.host, self.address.port, limit=2**20
             )
         except OSError as error:
             return Err(Failure(code=Code.ADDRESS_IN_USE, detail=f"{self.address}: {error}"))
@@ -59,13 +59,13 @@
             connection.close()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def _on_accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Start the task of a connection; one of asyncio's own is called a fault when cancelled."""
         task = asyncio.get_running_loop().create_task(self._serve(reader, writer))
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error("connection ended by an error", error=repr(task.exception()))
@@ -77,7 +77,7 @@
             return
         self._connections.add(connection)
         try:
-            greeted = await self._greet(connection)
+            greeted = await self._handshake(connection)
             if greeted.is_err():
                 failure = greeted.unwrap_err()
                 log.warning("peer refused", peer=connection.peer_name, failure=str(failure))
@@ -87,9 +87,9 @@
         finally:
             self._connections.discard(connection)
 
-    async def _greet(self, connection: Connection) -> Result[None, Failure]:
+    async def _handshake(self, connection: Connection) -> Result[None, Failure]:
         try:
-            async with active_timeout(GREETING_TIMEOUT_S):
+            async with active_timeout(HANDSHAKE_TIMEOUT_S):
                 received = await connection.read_frame()
         except TimeoutError:
             return Err(Failure(code=Code.PEER_TIMEOUT, detail="no greeting"))
--- a/src/leadhollow/wire/streams.py
+++ b/src/leadhollow/wire/streams.py
@@ -66,7 +66,7 @@
                 async with active_timeout(wait_s):
                     return await self._queue.get()
             except TimeoutError:
-                part_age_s = self._connection.part_age_s()
+                part_age_s = self._connection.partial_frame_age_s()
                 if silence_s is None or part_age_s is None or part_age_s >= silence_s:
                     return None
                 wait_s = silence_s - part_age_s
@@ -75,7 +75,7 @@
         """Tell the peer that nobody waits for this stream any more."""
         if not self._finished:
             self._finished = True
-            self._connection.forget(self._call_id, tell_peer=True)
+            self._connection.drop_stream(self._call_id, tell_peer=True)
 
 
 class StreamSink:
--- a/src/leadhollow/wire/traffic.py
+++ b/src/leadhollow/wire/traffic.py
@@ -12,7 +12,7 @@
     SliceReply,
 )
 
-DATA_BODIES: frozenset[type[Any]] = frozenset(
+DATA_BODY_TYPES: frozenset[type[Any]] = frozenset(
     {Dispatch, Output, ChunkRequest, ChunkReply, SliceReply}
 )
 
@@ -33,16 +33,16 @@
         self.data_sent_bytes = 0
         self.data_received_bytes = 0
 
-    def sent(self, body_type: type[Any], size_bytes: int) -> None:
+    def record_sent(self, body_type: type[Any], size_bytes: int) -> None:
         """Count an outgoing frame."""
-        if body_type in DATA_BODIES:
+        if body_type in DATA_BODY_TYPES:
             self.data_sent_bytes += size_bytes
         else:
             self.control_sent_bytes += size_bytes
 
-    def received(self, body_type: type[Any], size_bytes: int) -> None:
+    def record_received(self, body_type: type[Any], size_bytes: int) -> None:
         """Count an incoming frame."""
-        if body_type in DATA_BODIES:
+        if body_type in DATA_BODY_TYPES:
             self.data_received_bytes += size_bytes
         else:
             self.control_received_bytes += size_bytes
--- a/tests/forward/test_stalled_event_loop.py
+++ b/tests/forward/test_stalled_event_loop.py
@@ -8,7 +8,7 @@
 import pytest
 
 from leadhollow.forward.pool import ConnectionPool
-from leadhollow.http1.fetch import HttpCaller
+from leadhollow.http1.fetch import HttpFetcher
 from leadhollow.kernel import active_time
 from leadhollow.settings.address import Address
 from tests.forward.test_silent_connections import CONNECTIONS, RESPONSE, Client, SilentServer
@@ -71,7 +71,7 @@
     # as silent.
     def test_takes_a_response_that_arrived_during_the_stall(self, slow_server, loop_name):
         async def work() -> None:
-            caller = HttpCaller()
+            caller = HttpFetcher()
             asked = asyncio.create_task(
                 caller.fetch("GET", slow_server.address, "/", timeout_s=0.5)
             )
@@ -83,7 +83,7 @@
 
     def test_still_times_out_on_a_silent_server(self, slow_server, loop_name):
         async def work() -> None:
-            caller = HttpCaller()
+            caller = HttpFetcher()
             asked = await caller.fetch(
                 "GET", slow_server.address, "/", timeout_s=RESPONSE_DELAY_S / 2
             )
--- a/tests/http1/test_client_connection.py
+++ b/tests/http1/test_client_connection.py
@@ -19,8 +19,8 @@
 
 async def ask(connection: ClientConnection, method: bytes = b"GET"):
     """Send a request; give the answer's status and its body, or the failure of either."""
-    connection.begin(REQUEST, method=method)
-    answered = await connection.read_answer()
+    connection.begin_request(REQUEST, method=method)
+    answered = await connection.read_response()
     if answered.is_err():
         return None, answered.unwrap_err()
     answer = answered.unwrap()
@@ -115,10 +115,10 @@
 
         connection = ClientConnection()
         connection.connection_made(FakeTransport())
-        connection.begin(REQUEST, method=b"GET")
+        connection.begin_request(REQUEST, method=b"GET")
         connection.data_received(b"HTTP/1.1 200 OK\r\n\r\nhello")
         connection.eof_received()
-        answer = (await connection.read_answer()).unwrap()
+        answer = (await connection.read_response()).unwrap()
         assert (await answer.body.read()).unwrap() == b"hello"
         assert (await answer.body.read()).unwrap_err().code is Code.BACKEND_LOST
 
@@ -185,7 +185,7 @@
 
         async with RawServer(script) as server:
             connection = await opened(server)
-            connection.begin(REQUEST, method=b"GET")
+            connection.begin_request(REQUEST, method=b"GET")
             await asyncio.sleep(0.05)
             connection.close()
             assert await asyncio.wait_for(ended, 10) == "reset"
--- a/tests/http1/test_fetch.py
+++ b/tests/http1/test_fetch.py
@@ -9,7 +9,7 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.http1.body import IncomingBody
-from leadhollow.http1.fetch import HttpCaller
+from leadhollow.http1.fetch import HttpFetcher
 from leadhollow.settings.address import Address
 
 
@@ -19,7 +19,7 @@
     def __init__(self, answer: bytes) -> None:
         self.answer = answer
         self.requests = 0
-        self.caller = HttpCaller()
+        self.caller = HttpFetcher()
 
     async def __aenter__(self) -> Peer:
         self._listener = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -63,7 +63,7 @@
     async def test_is_asked_at_once_where_another_process_has_its_address(self):
         async with Peer(answer("503 Away", "Retry-After: 600")) as peer:
             await peer.ask()
-            peer.caller.forget_rest(peer.address)
+            peer.caller.clear_backoff(peer.address)
             assert (await peer.ask()).is_ok()
 
     @pytest.mark.parametrize(
@@ -93,14 +93,14 @@
 
     async def test_is_all_that_came(self):
         body = await self.feed(b"ab", b"c")
-        assert (await body.read_whole(3)).unwrap() == b"abc"
+        assert (await body.read_all(3)).unwrap() == b"abc"
 
     async def test_that_is_larger_than_allowed_is_refused(self):
         body = await self.feed(b"ab", b"c")
-        assert (await body.read_whole(2)).unwrap_err().code is Code.BODY_TOO_LARGE
+        assert (await body.read_all(2)).unwrap_err().code is Code.BODY_TOO_LARGE
 
     async def test_that_ends_too_early_is_no_body(self):
         body = IncomingBody(pause=lambda: None, resume=lambda: None)
         body.feed(b"ab")
         body.fail(Failure(code=Code.PEER_LOST))
-        assert (await body.read_whole(9)).unwrap_err().code is Code.PEER_LOST
+        assert (await body.read_all(9)).unwrap_err().code is Code.PEER_LOST
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -235,7 +235,7 @@
         async def handle(request: IncomingRequest, reply: ReplyWriter) -> None:
             nonlocal sent
             reply.start(200, Headers())
-            while not any(connection.unsent for connection in server._connections):
+            while not any(connection.has_unsent_bytes for connection in server._connections):
                 await reply.write(bytes(4096))
                 sent += 4096
             reply.finish()
--- a/tests/observe/test_line_output.py
+++ b/tests/observe/test_line_output.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from leadhollow.observe import outlets
-from leadhollow.observe.line_output import HELD_BYTES, LineOutput, LineStream
-from leadhollow.observe.outlets import DirectOutlet, PolledOutlet, SocketOutlet, open_outlet
+from leadhollow.observe import sinks
+from leadhollow.observe.line_output import MAX_BUFFERED_BYTES, LineOutput, LineStream
+from leadhollow.observe.sinks import DirectSink, PolledSink, SocketSink, open_sink
 from tests.support import eventually
 
 
-class Outlet:
+class FakeSink:
     """Takes as many bytes as a test lets it, or fails."""
 
     def __init__(self, *, room: int = 0) -> None:
@@ -41,8 +41,8 @@
         return count
 
 
-def output_to(outlet: Outlet) -> LineOutput:
-    return LineOutput(outlet=outlet, notice=lambda count: b"dropped %d\n" % count)
+def output_to(sink: FakeSink) -> LineOutput:
+    return LineOutput(sink=sink, drop_notice=lambda count: b"dropped %d\n" % count)
 
 
 def write_all(output: LineOutput, *lines: bytes) -> None:
@@ -52,79 +52,79 @@
 
 class TestOrder:
     def test_the_rest_of_a_line_comes_before_the_next_one(self):
-        outlet = Outlet(room=3)
-        output = output_to(outlet)
+        sink = FakeSink(room=3)
+        output = output_to(sink)
         write_all(output, b"first\n", b"second\n")
-        outlet.room = 1_000
+        sink.room = 1_000
         output.write(b"third\n")
-        assert outlet.taken == b"first\nsecond\nthird\n"
+        assert sink.taken == b"first\nsecond\nthird\n"
 
     def test_each_new_line_tries_again(self):
-        outlet = Outlet()
-        output = output_to(outlet)
+        sink = FakeSink()
+        output = output_to(sink)
         write_all(output, b"1\n", b"2\n")
-        outlet.room = 2
+        sink.room = 2
         output.write(b"3\n")
-        assert outlet.taken == b"1\n"
+        assert sink.taken == b"1\n"
 
     # Guards against: a line that a collection of garbage writes in the middle of another one.
     @pytest.mark.parametrize("held", [True, False])
     def test_a_line_in_the_middle_of_a_write_comes_after_it(self, held):
-        outlet = Outlet()
-        output = output_to(outlet)
+        sink = FakeSink()
+        output = output_to(sink)
         if held:
             output.write(b"held\n")
-        outlet.meanwhile = lambda: output.write(b"inner\n")
-        outlet.room = 1_000
+        sink.meanwhile = lambda: output.write(b"inner\n")
+        sink.room = 1_000
         output.write(b"outer\n")
-        output.finish()
-        lines = outlet.taken.split()
+        output.flush_at_exit()
+        lines = sink.taken.split()
         assert sorted(lines) == sorted([b"held"] * held + [b"inner", b"outer"])
         assert lines[0] == (b"held" if held else b"outer")
 
 
 class TestDrops:
     def test_holds_no_more_than_its_bound_and_counts_the_others(self):
-        outlet = Outlet()
-        output = output_to(outlet)
+        sink = FakeSink()
+        output = output_to(sink)
         line = b"x" * 999 + b"\n"
-        kept = HELD_BYTES // len(line)
+        kept = MAX_BUFFERED_BYTES // len(line)
         write_all(output, *[line] * (kept + 5))
-        outlet.room = 10 * HELD_BYTES
+        sink.room = 10 * MAX_BUFFERED_BYTES
         output.write(b"after\n")
-        assert outlet.taken == line * kept + b"dropped 5\n" + b"after\n"
+        assert sink.taken == line * kept + b"dropped 5\n" + b"after\n"
 
     def test_a_line_beyond_the_bound_is_passed_on_where_there_is_room(self):
-        outlet = Outlet(room=10 * HELD_BYTES)
-        output_to(outlet).write(b"x" * (2 * HELD_BYTES))
-        assert len(outlet.taken) == 2 * HELD_BYTES
+        sink = FakeSink(room=10 * MAX_BUFFERED_BYTES)
+        output_to(sink).write(b"x" * (2 * MAX_BUFFERED_BYTES))
+        assert len(sink.taken) == 2 * MAX_BUFFERED_BYTES
 
     def test_what_an_error_loses_is_counted_and_said_once_it_is_over(self):
-        outlet = Outlet()
-        output = output_to(outlet)
+        sink = FakeSink()
+        output = output_to(sink)
         output.write(b"held\n")
-        outlet.error = OSError(errno.ENOSPC, "full")
+        sink.error = OSError(errno.ENOSPC, "full")
         write_all(output, b"1\n", b"2\n")
-        outlet.error, outlet.room = None, 1_000
+        sink.error, sink.room = None, 1_000
         output.write(b"after\n")
-        assert outlet.taken == b"dropped 3\nafter\n"
+        assert sink.taken == b"dropped 3\nafter\n"
 
     def test_a_line_that_was_begun_goes_on_after_an_error(self):
-        outlet = Outlet(room=2)
-        output = output_to(outlet)
+        sink = FakeSink(room=2)
+        output = output_to(sink)
         output.write(b"begun\n")
-        outlet.error = OSError(errno.ENOSPC, "full")
+        sink.error = OSError(errno.ENOSPC, "full")
         output.write(b"second\n")
-        outlet.error, outlet.room = None, 1_000
+        sink.error, sink.room = None, 1_000
         output.write(b"after\n")
-        assert outlet.taken == b"begun\nsecond\nafter\n"
+        assert sink.taken == b"begun\nsecond\nafter\n"
 
 
 class TestRetries:
     async def test_sets_no_timer_while_nothing_is_held_back(self, monkeypatch):
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(loop, "call_later", pytest.fail)
-        output = output_to(Outlet(room=1_000))
+        output = output_to(FakeSink(room=1_000))
         write_all(output, b"1\n", b"2\n")
 
     async def test_sets_one_timer_for_many_lines(self, monkeypatch):
@@ -137,69 +137,69 @@
             return call_later(delay_s, callback, *arguments)
 
         monkeypatch.setattr(loop, "call_later", note)
-        outlet = Outlet()
-        output = output_to(outlet)
+        sink = FakeSink()
+        output = output_to(sink)
         write_all(output, *[b"line\n"] * 100)
         assert len(timers) == 1
         monkeypatch.undo()
-        outlet.room = 10_000
-        await eventually(lambda: outlet.taken, "the held lines")
-        assert outlet.taken == b"line\n" * 100
+        sink.room = 10_000
+        await eventually(lambda: sink.taken, "the held lines")
+        assert sink.taken == b"line\n" * 100
 
     # Guards against: waking for ever for a reader that is gone.
     async def test_sets_no_timer_for_an_outlet_that_fails(self, monkeypatch):
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(loop, "call_later", pytest.fail)
-        outlet = Outlet()
-        outlet.error = BrokenPipeError()
-        write_all(output_to(outlet), b"1\n", b"2\n")
+        sink = FakeSink()
+        sink.error = BrokenPipeError()
+        write_all(output_to(sink), b"1\n", b"2\n")
 
     async def test_goes_on_when_the_loop_of_its_timer_is_gone(self):
-        outlet = Outlet()
-        output = output_to(outlet)
+        sink = FakeSink()
+        output = output_to(sink)
 
         async def write() -> None:
             output.write(b"other\n")
 
         await asyncio.to_thread(lambda: asyncio.run(write()))
         output.write(b"here\n")
-        outlet.room = 1_000
-        await eventually(lambda: outlet.taken == b"other\nhere\n", "the held lines")
+        sink.room = 1_000
+        await eventually(lambda: sink.taken == b"other\nhere\n", "the held lines")
 
 
 class TestEnd:
     def test_waits_only_so_long(self, monkeypatch):
         monkeypatch.setattr("leadhollow.observe.line_output.LAST_LINES_S", 0.05)
-        outlet = Outlet()
-        output = output_to(outlet)
+        sink = FakeSink()
+        output = output_to(sink)
         output.write(b"held\n")
-        output.finish()
-        assert outlet.taken == b""
+        output.flush_at_exit()
+        assert sink.taken == b""
 
 
 class TestStream:
     def test_pieces_of_a_line_come_as_one(self):
-        outlet = Outlet(room=1_000)
-        stream = LineStream(output=output_to(outlet), descriptor=2)
+        sink = FakeSink(room=1_000)
+        stream = LineStream(output=output_to(sink), descriptor=2)
         print("a", "b", file=stream)
-        assert outlet.tries == 1
-        assert outlet.taken == b"a b\n"
+        assert sink.tries == 1
+        assert sink.taken == b"a b\n"
 
     def test_a_line_without_an_end_comes_with_a_flush(self):
-        outlet = Outlet(room=1_000)
-        stream = LineStream(output=output_to(outlet), descriptor=2)
+        sink = FakeSink(room=1_000)
+        stream = LineStream(output=output_to(sink), descriptor=2)
         stream.write("so far \udc80")
-        assert outlet.taken == b""
+        assert sink.taken == b""
         stream.flush()
-        assert outlet.taken == b"so far \\udc80"
+        assert sink.taken == b"so far \\udc80"
 
 
-def fill(outlet) -> int:
+def fill(sink) -> int:
     """Write until there is no room; gives how much was written."""
     total = 0
     while True:
         try:
-            total += outlet.write(b"x" * select.PIPE_BUF)
+            total += sink.write(b"x" * select.PIPE_BUF)
         except BlockingIOError:
             return total
 
@@ -215,11 +215,11 @@
     def test_fit_what_the_descriptor_stands_for(self, pipe, tmp_path):
         ours, theirs = socket.socketpair()
         with ours, theirs, (tmp_path / "file").open("wb") as file:
-            found = [open_outlet(place) for place in (pipe[1], theirs.fileno(), file.fileno())]
-        assert [type(outlet) for outlet in found] == [DirectOutlet, SocketOutlet, DirectOutlet]
+            found = [open_sink(place) for place in (pipe[1], theirs.fileno(), file.fileno())]
+        assert [type(sink) for sink in found] == [DirectSink, SocketSink, DirectSink]
 
     def test_a_description_of_our_own_is_used_for_a_pipe(self, pipe):
-        assert fill(open_outlet(pipe[1])) > 0
+        assert fill(open_sink(pipe[1])) > 0
         assert os.get_blocking(pipe[1])
 
     @pytest.mark.parametrize("refused", ["open", "get_blocking"])
@@ -229,25 +229,25 @@
 
         before = len(list(Path("/proc/self/fd").iterdir()))
         monkeypatch.setattr(outlets.os, refused, refuse)
-        outlet = open_outlet(pipe[1])
+        sink = open_sink(pipe[1])
         monkeypatch.undo()
-        assert isinstance(outlet, PolledOutlet)
+        assert isinstance(sink, PolledSink)
         assert len(list(Path("/proc/self/fd").iterdir())) == before
-        assert fill(outlet) > 0
+        assert fill(sink) > 0
 
     def test_a_write_is_tried_where_asking_is_refused(self, pipe, monkeypatch):
-        outlet = PolledOutlet(descriptor=pipe[1])
+        sink = PolledSink(descriptor=pipe[1])
 
         class Refused:
             def poll(self, _):
                 raise PermissionError
 
-        outlet._poll = Refused()
-        assert outlet.write(b"line\n") == 5
+        sink._poll = Refused()
+        assert sink.write(b"line\n") == 5
 
     def test_a_descriptor_that_is_closed_is_an_error_and_no_wait(self):
         read, write = os.pipe()
         os.close(read)
         os.close(write)
         with pytest.raises(OSError, match="Bad file"):
-            open_outlet(write).write(b"line\n")
+            open_sink(write).write(b"line\n")
--- a/tests/observe/test_unknown_fields.py
+++ b/tests/observe/test_unknown_fields.py
@@ -8,7 +8,7 @@
 
 from leadhollow.http1.headers import Headers
 from leadhollow.http1.messages import Framing, ResponseHead
-from leadhollow.observe.unknown_fields import MOST_NAMES, UnknownFields
+from leadhollow.observe.unknown_fields import MAX_NAMES, UnknownFields
 from leadhollow.platform import answer_fields
 from leadhollow.platform.callers import PlatformCalls
 
@@ -52,9 +52,9 @@
 
     def test_that_a_sender_invents_are_bounded(self, lines):
         unknown = UnknownFields(message="answer", known=())
-        for number in range(10 * MOST_NAMES):
-            unknown.note_headers(Headers(items=[(b"x-%d" % number, b"")]), sender="i-1")
-        assert len(lines) == len(unknown.reported) == MOST_NAMES
+        for number in range(10 * MAX_NAMES):
+            unknown.check_headers(Headers(items=[(b"x-%d" % number, b"")]), sender="i-1")
+        assert len(lines) == len(unknown.reported) == MAX_NAMES
 
 
 class TestFieldsOfAnswers:
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -240,6 +240,6 @@
         ours, theirs = socket.socketpair()
         reader, writer = await asyncio.open_connection(sock=ours)
         stopping = asyncio.create_task(server.stop())
-        server._accepted(reader, writer)
+        server._on_accept(reader, writer)
         await asyncio.wait_for(stopping, 2)
         theirs.close()
--- a/tests/wire/test_peers.py
+++ b/tests/wire/test_peers.py
@@ -13,7 +13,7 @@
 from leadhollow.settings.deployment import Listener, LoopbackAddresses
 from leadhollow.wire.generated.ttypes import UseReport
 from leadhollow.wire.handlers import HandlerTable
-from leadhollow.wire.liveness import PROBE_AFTER_S, UNACKNOWLEDGED_LIMIT_MS
+from leadhollow.wire.liveness import KEEPALIVE_IDLE_S, UNACKNOWLEDGED_LIMIT_MS
 from leadhollow.wire.peers import PeerPool
 from leadhollow.wire.server import WireServer
 from tests.support import TOKEN, eventually
@@ -36,7 +36,7 @@
                 opened = connection._writer.get_extra_info("socket")
                 limit = opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
                 idle = opened.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
-                assert (limit, idle) == (UNACKNOWLEDGED_LIMIT_MS, PROBE_AFTER_S)
+                assert (limit, idle) == (UNACKNOWLEDGED_LIMIT_MS, KEEPALIVE_IDLE_S)
                 assert opened.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
             await pool.stop()
             await server.stop()
@@ -72,7 +72,7 @@
             await eventually(lambda: len(received) == 3)
             assert not released.is_set()
             released.set()
-            await eventually(lambda: not pool._locks[HANGING].locked())
+            await eventually(lambda: not pool._dial_locks[HANGING].locked())
             await pool.stop()
             await server.stop()
 
@@ -83,7 +83,7 @@
             pool = PeerPool(vm="v", failure_domain="d", token=TOKEN, handlers=HandlerTable())
             pool.cut({HANGING})
             pool.post(HANGING, UseReport([], [], False))
-            await eventually(lambda: HANGING in pool._failed_until_s)
+            await eventually(lambda: HANGING in pool._no_dial_until_s)
             await pool.stop()
 
         asyncio.run(asyncio.wait_for(work(), 30))
