--- a/src/leadhollow/http1/__init__.py
+++ b/src/leadhollow/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 connections on the parser of the httptools library, for callers and backend servers."""
+"""HTTP/1.1 client and server connections, built on the httptools parser."""
--- a/src/leadhollow/http1/body.py
+++ b/src/leadhollow/http1/body.py
@@ -1,4 +1,4 @@
-"""A body that arrives while it is read, with back-pressure on its socket."""
+"""Buffer for a message body that is read while it arrives, with back-pressure on the socket."""
 
 from __future__ import annotations
 
@@ -11,17 +11,24 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 
-PAUSE_ABOVE_BYTES = 256 * 1024  # a fast sender waits once this much is unread
+PAUSE_ABOVE_BYTES = 256 * 1024  # reading from the socket pauses above this many unread bytes
 RESUME_BELOW_BYTES = 64 * 1024
 
 
 class IncomingBody:
-    """Bytes between the connection that receives them and the task that reads them.
+    """Buffers a body between the connection that receives it and the task that reads it.
 
     Parameters
     ----------
     pause, resume
-        Stop and continue to read the socket.
+        Pause and resume reading from the socket.
+
+    Attributes
+    ----------
+    complete
+        Whether the whole body was received.
+    buffered_bytes
+        Bytes that were received and not read yet.
     """
 
     __slots__ = (
@@ -31,8 +38,8 @@
         "_pieces",
         "_resume",
         "_waiter",
-        "complete",
         "buffered_bytes",
+        "complete",
     )
 
     def __init__(self, *, pause: Callable[[], None], resume: Callable[[], None]) -> None:
@@ -46,7 +53,7 @@
         self.buffered_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Take bytes from the connection."""
+        """Append bytes that the connection received."""
         if self.complete or self._failure is not None:
             return
         self._pieces.append(data)
@@ -57,29 +64,29 @@
         self._wake()
 
     def finish(self) -> None:
-        """Note that the body came whole."""
+        """Mark the body as complete."""
         if self._failure is None:
             self.complete = True
         self._wake()
 
     def fail(self, failure: Failure) -> None:
-        """Note that the rest will never come; what was received before can still be read."""
+        """Mark the body as incomplete for good; bytes received before can still be read."""
         if not self.complete and self._failure is None:
             self._failure = failure
         self._wake()
 
     @property
     def failed(self) -> bool:
-        """Whether the body ended before it was whole."""
+        """Whether the body ended before it was complete."""
         return self._failure is not None
 
     async def read(self) -> Result[bytes, Failure]:
-        """Give the next bytes.
+        """Return the next bytes, waiting for them if there are none.
 
         Returns
         -------
         Result
-            Bytes, ``b""`` after the last ones, or why the body is not whole.
+            Bytes, ``b""`` at the end of the body, or why the body is incomplete.
         """
         while not self._pieces:
             if self._failure is not None:
@@ -99,12 +106,12 @@
         return Ok(data)
 
     async def read_all(self, limit_bytes: int) -> Result[bytes, Failure]:
-        """Give all that comes.
+        """Read the whole body.
 
         Errors
         ------
         BODY_TOO_LARGE
-            It is larger than the limit.
+            The body is larger than the limit.
         """
         parts: list[bytes] = []
         size = 0
@@ -122,7 +129,7 @@
                 return Err(Failure(code=Code.BODY_TOO_LARGE, detail=detail))
 
     def discard(self) -> None:
-        """Drop what is held and let the socket be read on."""
+        """Drop the buffered bytes and resume reading from the socket."""
         self._pieces.clear()
         self.buffered_bytes = 0
         if self._paused:
--- a/src/leadhollow/http1/client_connection.py
+++ b/src/leadhollow/http1/client_connection.py
@@ -1,8 +1,8 @@
-"""One connection to a backend server: one request at a time, and what came back told apart.
+"""Client connection to a backend server, for one request at a time.
 
-An answer that ends with its connection is whole only where the connection was closed in order; a
-reset means that bytes may be missing. Bytes that come while no request is outstanding belong to
-nobody and end the connection.
+A response that is delimited by the end of its connection is complete only if the connection was
+closed in order. After a reset, bytes may be missing. Bytes that arrive while no request is
+outstanding cannot be assigned to a request, and the connection is closed.
 """
 
 from __future__ import annotations
@@ -29,15 +29,16 @@
 from leadhollow.settings.address import Address
 
 UNACKNOWLEDGED_LIMIT_MS = 3_000
-"""A peer that acknowledges no byte for this long is gone; without it a cut link hangs."""
+"""TCP_USER_TIMEOUT: a connection ends if sent bytes stay unacknowledged for longer. Without it, a
+connection over a cut link hangs."""
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # linger for no time: the kernel sends a reset
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, with 0 s: closing sends a reset
 
 log = get_logger("http")
 
 
 class IncomingResponse:
-    """A response as it arrives."""
+    """A response whose head was received; its body may still arrive."""
 
     __slots__ = ("body", "head")
 
@@ -47,28 +48,33 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One socket to a backend server.
+    """Connection to a backend server.
 
     Attributes
     ----------
     usable
-        Whether another request may be sent: open, in step, and no byte is left over.
+        Whether another request may be sent: the connection is open and keep-alive, and there are
+        no unexpected bytes.
+    exchange_count
+        Number of requests that were sent.
     idle_since_s
-        Loop time at which the last exchange ended.
+        Time of `clocks.elapsed_s` at which the last exchange ended.
+    keep_alive_s
+        How long the server keeps an idle connection open; None if it did not say.
     """
 
     __slots__ = (
-        "_response",
-        "_responses",
-        "_writable",
-        "_headers",
         "_failure",
+        "_headers",
         "_method",
         "_outstanding",
         "_parser",
         "_reason",
+        "_response",
+        "_responses",
         "_transport",
         "_waiter",
+        "_writable",
         "exchange_count",
         "idle_since_s",
         "keep_alive_s",
@@ -93,20 +99,20 @@
         self.idle_since_s = 0.0
         self.keep_alive_s: float | None = None
 
-    # asyncio's callbacks
+    # asyncio callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket and let the kernel notice a silent peer."""
-        socket_transport = cast("asyncio.Transport", transport)  # uvloop's is no subclass of it
+        """Store the transport and set the TCP user timeout, which detects a dead peer."""
+        socket_transport = cast("asyncio.Transport", transport)  # uvloop's does not subclass it
         self._transport = socket_transport
-        opened = socket_transport.get_extra_info("socket")
-        if opened is not None:
-            opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS)
+        sock = socket_transport.get_extra_info("socket")
+        if sock is not None:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived; without an outstanding request nothing may arrive."""
+        """Parse received bytes; close the connection if no request is outstanding."""
         if not self._outstanding:
-            log.warning("bytes without a request dropped", count=len(data))
+            log.warning("received bytes without an outstanding request", count=len(data))
             self.close()
             return
         try:
@@ -116,9 +122,9 @@
             self.close()
 
     def eof_received(self) -> bool:
-        """Note an end, and whether it is an orderly one.
+        """End the response, as complete only if the connection was closed in order.
 
-        A reset may be told as an end of the stream with the error left on the socket.
+        A reset may be reported as an end of stream, with the error left on the socket.
         """
         self.usable = False
         error = self._socket_error()
@@ -126,44 +132,44 @@
             detail = f"the connection broke: {os.strerror(error)}"
             self._fail(Failure(code=Code.BACKEND_LOST, detail=detail))
             return False
-        answer = self._response
-        if answer is not None and answer.head.framing is Framing.UNTIL_CLOSE:
-            answer.body.finish()
+        response = self._response
+        if response is not None and response.head.framing is Framing.UNTIL_CLOSE:
+            response.body.finish()
             self._response = None
         self._fail(Failure(code=Code.BACKEND_LOST, detail="the connection was closed"))
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note a reset, or the end that was announced."""
+        """Fail the response in progress, after a reset or the end of the stream."""
         self.usable = False
         detail = "the connection was closed" if exc is None else f"the connection broke: {exc}"
         self._fail(Failure(code=Code.BACKEND_LOST, detail=detail))
 
     def pause_writing(self) -> None:
-        """Make writers wait."""
+        """Block writers while the write buffer is full."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Unblock writers."""
         self._writable.set()
 
-    # the parser's callbacks
+    # parser callbacks
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Start a response."""
         self._headers = Headers()
         self._reason = b""
 
     def on_status(self, reason: bytes) -> None:
-        """Take a part of the status line's text."""
+        """Append a part of the reason phrase."""
         self._reason += reason
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a field."""
+        """Add a header field."""
         self._headers.add(name, value)
 
     def on_headers_complete(self) -> None:
-        """Offer the answer to whoever waits; interim answers are skipped."""
+        """Queue the response for `read_response`; interim (1xx) responses are skipped."""
         status = self._parser.get_status_code()
         if status < HTTPStatus.OK:
             return
@@ -174,7 +180,7 @@
         body = IncomingBody(pause=self._pause_reading, resume=self._resume_reading)
         self._response = IncomingResponse(head=head, body=body)
         self.keep_alive_s = _keep_alive_s(self._headers)
-        if self._method == b"HEAD":  # the parser would wait for a body that never comes
+        if self._method == b"HEAD":  # the parser expects a body, which a HEAD response lacks
             self.usable = False
             body.finish()
             self._response = None
@@ -184,12 +190,12 @@
         self._wake()
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         if self._response is not None:
             self._response.body.feed(data)
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole."""
+        """Complete the response."""
         if self._response is None:
             return
         if not self._parser.should_keep_alive():
@@ -197,7 +203,7 @@
         self._response.body.finish()
         self._response = None
 
-    # the caller's side
+    # interface for callers
 
     def begin_request(self, head: bytes, *, method: bytes) -> None:
         """Send the head of a request."""
@@ -208,7 +214,7 @@
         self._transport.write(head)
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the request's body; waits while the peer reads slowly."""
+        """Send a part of the request body; waits while the write buffer is full."""
         if self._transport is None or self._transport.is_closing():
             return
         self._transport.write(data)
@@ -216,14 +222,14 @@
             await self._writable.wait()
 
     async def read_response(self) -> Result[IncomingResponse, Failure]:
-        """Wait for the head of the next answer.
+        """Wait for the head of the next response.
 
         Errors
         ------
         BACKEND_LOST
             The connection ended first.
         ENGINE_FAILED
-            What came is no HTTP.
+            The received bytes are not HTTP.
         """
         while not self._responses:
             if self._failure is not None:
@@ -236,33 +242,36 @@
         return Ok(self._responses.popleft())
 
     def end_exchange(self) -> None:
-        """Note that the request and its answer are whole; the connection may be used again."""
+        """Finish the request after its response was read; the connection may then be reused.
+
+        If there are bytes of another response, the connection is closed.
+        """
         self._outstanding = False
         self.idle_since_s = clocks.elapsed_s()
         if self._responses or self._response is not None:
             self.close()
 
     def close(self) -> None:
-        """End the connection at once: the peer sees that nobody waits any more.
+        """Abort the connection.
 
-        With a request outstanding the connection is reset, so that bytes which are still on their
-        way are dropped and not worked on later.
+        If a request is outstanding, the connection is reset. The peer then drops request bytes in
+        transit instead of processing them later.
         """
         self.usable = False
         if self._transport is None:
             return
-        opened = self._transport.get_extra_info("socket")
-        if self._outstanding and opened is not None and not self._transport.is_closing():
-            opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        sock = self._transport.get_extra_info("socket")
+        if self._outstanding and sock is not None and not self._transport.is_closing():
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self._transport.abort()
 
     def _socket_error(self) -> int:
         if self._transport is None:
             return 0
-        opened = self._transport.get_extra_info("socket")
-        if opened is None:
+        sock = self._transport.get_extra_info("socket")
+        if sock is None:
             return 0
-        return int(opened.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
+        return int(sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
 
     def _fail(self, failure: Failure) -> None:
         if self._failure is None:
@@ -294,11 +303,11 @@
     Errors
     ------
     PEER_ABSENT
-        Nothing listens there.
+        The connection was refused.
     PEER_LOST
-        There is no way there.
+        The address is unreachable.
     PEER_TIMEOUT
-        No answer in time.
+        The connection was not established in time.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -316,7 +325,7 @@
 
 
 def _keep_alive_s(headers: Headers) -> float | None:
-    """Read how long the server keeps an idle connection (``Keep-Alive: timeout=5``)."""
+    """Return how long the server keeps an idle connection open (``Keep-Alive: timeout=5``)."""
     for token in headers.tokens(b"keep-alive"):
         name, _, value = token.partition(b"=")
         if name.strip() == b"timeout" and value.strip().isdigit():
@@ -324,4 +333,4 @@
     return None
 
 
-__all__ = ["Answer", "ClientConnection", "open_connection"]
+__all__ = ["ClientConnection", "IncomingResponse", "open_connection"]
--- a/src/leadhollow/http1/decimal_fields.py
+++ b/src/leadhollow/http1/decimal_fields.py
@@ -1,4 +1,4 @@
-"""Decimal numbers in header fields."""
+"""Parsing of decimal numbers in header fields, such as Retry-After."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 def parse_decimal(values: Sequence[bytes]) -> float | None:
-    """Decode the values of a field, None where they are not exactly one decimal number."""
+    """Parse the values of a field; return None unless there is exactly one decimal number."""
     if len(values) != 1 or DECIMAL.fullmatch(values[0].strip()) is None:
         return None
     return float(values[0])
 
 
 def parse_decimal_text(values: Sequence[str]) -> float | None:
-    """Decode values that a library has made text of."""
+    """Parse field values that a library has decoded to text, like `parse_decimal`."""
     return parse_decimal([value.encode("latin-1", "replace") for value in values])
 
 
-__all__ = ["read_decimal", "read_decimal_text"]
+__all__ = ["parse_decimal", "parse_decimal_text"]
--- a/src/leadhollow/http1/fetch.py
+++ b/src/leadhollow/http1/fetch.py
@@ -1,4 +1,4 @@
-"""Short exchanges with other processes: one request, the whole answer, a time limit."""
+"""HTTP client for short exchanges with other processes, each with a timeout."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from leadhollow.settings.address import Address
 
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
-IDLE_REUSE_S = 1.0  # well below the shortest idle timeout that a server may have
+IDLE_REUSE_S = 1.0  # well below the shortest idle timeout of a server
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
 
 class HttpResponse:
-    """A whole answer."""
+    """A response that was read completely."""
 
     __slots__ = ("body", "head")
 
@@ -30,22 +30,22 @@
 
     @property
     def status(self) -> int:
-        """Status code."""
+        """Status code of the response."""
         return self.head.status
 
 
 class HttpFetcher:
-    """Sends requests to one address after the other, keeping a connection for each in use.
+    """Sends requests and reuses idle connections, for each address.
 
-    An address that asked for rest gets nothing until that is over.
+    No request is sent to an address during a back-off that it asked for.
 
     Parameters
     ----------
     connect_timeout_s
-        Time in which a connection must open.
+        Timeout for opening a connection.
     """
 
-    __slots__ = ("_connect_timeout_s", "_idle", "_backoffs")
+    __slots__ = ("_backoffs", "_connect_timeout_s", "_idle")
 
     def __init__(self, *, connect_timeout_s: float = DEFAULT_CONNECT_TIMEOUT_S) -> None:
         self._connect_timeout_s = connect_timeout_s
@@ -62,20 +62,20 @@
         body: bytes = b"",
         content_type: str = "application/json",
     ) -> Result[HttpResponse, Failure]:
-        """Send a request and read the whole answer.
+        """Send a request and read the whole response.
 
         Errors
         ------
         PEER_LOST
-            No connection, or it broke.
+            The connection could not be opened, or it was lost.
         PEER_TIMEOUT
-            No whole answer in the time in which it could be heard.
+            The response was not complete in time. Only active time counts.
         SERVER_RESTS
-            It asked for rest; nothing was sent.
+            The address asked for a back-off that is not over; nothing was sent.
         """
-        left_s = self._backoffs.remaining_s(address)
-        if left_s > 0:
-            detail = f"{address} wants rest for {left_s:.1f} s more"
+        remaining_s = self._backoffs.remaining_s(address)
+        if remaining_s > 0:
+            detail = f"{address} wants rest for {remaining_s:.1f} s more"
             return Err(Failure(code=Code.SERVER_RESTS, detail=detail))
         try:
             async with active_timeout(timeout_s):
@@ -84,7 +84,7 @@
             return Err(Failure(code=Code.PEER_TIMEOUT, detail=f"{address}{target}"))
 
     def clear_backoff(self, address: Address) -> None:
-        """Note that another process has an address: what the former one asked for is over."""
+        """Forget the back-off of an address, because another process has the address now."""
         self._backoffs.forget(address)
 
     def close(self) -> None:
@@ -97,10 +97,10 @@
     async def _exchange(
         self, method: str, address: Address, target: str, body: bytes, content_type: str
     ) -> Result[HttpResponse, Failure]:
-        opened = await self._connection(address)
-        if opened.is_err():
-            return Err(opened.unwrap_err())
-        connection = opened.unwrap()
+        connected = await self._connection(address)
+        if connected.is_err():
+            return Err(connected.unwrap_err())
+        connection = connected.unwrap()
         headers = Headers(items=[(b"Host", str(address).encode())])
         if body or method in ("POST", "PUT"):
             headers.add(b"Content-Type", content_type.encode())
@@ -109,16 +109,16 @@
         done = False
         try:
             connection.begin_request(head.encode() + body, method=head.method)
-            answered = await connection.read_response()
-            if answered.is_err():
-                return Err(_lost(address, target, answered.unwrap_err()))
-            answer = answered.unwrap()
-            self._backoffs.record_response(address, answer.head)
-            content = await answer.body.read_all(MAX_RESPONSE_BYTES)
+            received = await connection.read_response()
+            if received.is_err():
+                return Err(_peer_lost(address, target, received.unwrap_err()))
+            response = received.unwrap()
+            self._backoffs.record_response(address, response.head)
+            content = await response.body.read_all(MAX_RESPONSE_BYTES)
             if content.is_err():
-                return Err(_lost(address, target, content.unwrap_err()))
+                return Err(_peer_lost(address, target, content.unwrap_err()))
             done = True
-            return Ok(HttpResponse(head=answer.head, body=content.unwrap()))
+            return Ok(HttpResponse(head=response.head, body=content.unwrap()))
         finally:
             if done:
                 self._keep(address, connection)
@@ -143,8 +143,8 @@
             connection.close()
 
 
-def _lost(address: Address, target: str, failure: Failure) -> Failure:
+def _peer_lost(address: Address, target: str, failure: Failure) -> Failure:
     return Failure(code=Code.PEER_LOST, detail=f"{address}{target}: {failure.detail}")
 
 
-__all__ = ["HttpAnswer", "HttpCaller"]
+__all__ = ["HttpFetcher", "HttpResponse"]
--- a/src/leadhollow/http1/headers.py
+++ b/src/leadhollow/http1/headers.py
@@ -1,4 +1,4 @@
-"""Header fields as they stood on the wire."""
+"""Header fields with the order and spelling that they have on the wire."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
         b"upgrade",
     }
 )
-"""Fields that concern one connection only (RFC 9110, section 7.6.1) and are never forwarded."""
+"""Hop-by-hop fields (RFC 9110, section 7.6.1), which are never forwarded."""
 
 
 class Headers:
-    """Ordered header fields; names keep their spelling and are compared without case."""
+    """Ordered header fields; names keep their spelling and are matched case-insensitively."""
 
     __slots__ = ("_items",)
 
@@ -33,37 +33,37 @@
         self._items.append((name, value))
 
     def get(self, name: bytes) -> bytes | None:
-        """Give the first value of a field; the name must be in lower case."""
-        for found, value in self._items:
-            if found.lower() == name:
+        """Return the first value of a field, or None; the name must be in lower case."""
+        for field, value in self._items:
+            if field.lower() == name:
                 return value
         return None
 
     def text(self, name: bytes) -> str:
-        """Give the first value of a field as text, empty where there is none."""
+        """Return the first value of a field as text, or an empty string."""
         value = self.get(name)
         return "" if value is None else value.decode("latin-1")
 
     def get_all(self, name: bytes) -> list[bytes]:
-        """Give all values of a field; the name must be in lower case."""
-        return [value for found, value in self._items if found.lower() == name]
+        """Return all values of a field; the name must be in lower case."""
+        return [value for field, value in self._items if field.lower() == name]
 
     def tokens(self, name: bytes) -> set[bytes]:
-        """Give the comma-separated members of a field in lower case."""
+        """Return the comma-separated members of a field, in lower case."""
         joined = b",".join(self.get_all(name)).lower()
         return {token.strip() for token in joined.split(b",") if token.strip()}
 
     def without(self, names: frozenset[bytes] | set[bytes]) -> Headers:
-        """Copy all fields but these; the names must be in lower case."""
+        """Return a copy without these fields; the names must be in lower case."""
         return Headers(items=[pair for pair in self._items if pair[0].lower() not in names])
 
     def end_to_end(self) -> Headers:
-        """Copy the fields that are forwarded: all but those of this connection."""
+        """Return a copy without hop-by-hop fields, including those that Connection lists."""
         dropped = CONNECTION_FIELDS | self.tokens(b"connection")
         return self.without(dropped)
 
     def encode(self) -> bytes:
-        """Give the fields as they go on the wire, each with its line end."""
+        """Encode the fields for the wire, each with its line end."""
         return b"".join(b"%b: %b\r\n" % pair for pair in self._items)
 
     def __iter__(self) -> Iterator[tuple[bytes, bytes]]:
--- a/src/leadhollow/http1/messages.py
+++ b/src/leadhollow/http1/messages.py
@@ -1,4 +1,4 @@
-"""Heads of requests and responses, and how a body is framed."""
+"""Heads of requests and responses, and the framing of bodies."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Framing(Enum):
-    """How the end of a body is told."""
+    """How a body is delimited."""
 
     NONE = "none"
     LENGTH = "length"
@@ -20,14 +20,14 @@
 
 
 class RequestHead:
-    """First line and fields of a request.
+    """Request line and header fields of a request.
 
     Parameters
     ----------
     method, target
         As the caller sent them.
     http_1_0
-        Whether the caller speaks HTTP/1.0, which knows no chunks.
+        Whether the caller speaks HTTP/1.0, which has no chunked encoding.
     """
 
     __slots__ = ("headers", "http_1_0", "method", "target")
@@ -42,12 +42,12 @@
 
     @property
     def path(self) -> str:
-        """Path without the query, as text."""
+        """Path without the query string, as text."""
         return self.target.split(b"?", 1)[0].decode("latin-1")
 
     @property
     def framing(self) -> Framing:
-        """How the request's body ends."""
+        """Framing of the request body."""
         if self.headers.get(b"transfer-encoding") is not None:
             return Framing.CHUNKED
         if self.headers.get(b"content-length") is not None:
@@ -55,12 +55,12 @@
         return Framing.NONE
 
     def encode(self) -> bytes:
-        """Give the head as it goes on the wire."""
+        """Encode the head for the wire."""
         return b"%b %b HTTP/1.1\r\n%b\r\n" % (self.method, self.target, self.headers.encode())
 
 
 class ResponseHead:
-    """Status line and fields of a response."""
+    """Status line and header fields of a response."""
 
     __slots__ = ("framing", "headers", "reason", "status")
 
@@ -72,7 +72,7 @@
 
     @property
     def content_length(self) -> int | None:
-        """Declared length of the body in bytes, None without one."""
+        """Content-Length in bytes; None if the body is not delimited by it."""
         value = self.headers.get(b"content-length")
         if self.framing is not Framing.LENGTH or value is None:
             return None
@@ -80,7 +80,7 @@
 
 
 def response_framing(*, status: int, method: bytes, headers: Headers) -> Framing:
-    """Tell how a response's body ends (RFC 9112, section 6.3)."""
+    """Return the framing of a response body (RFC 9112, section 6.3)."""
     if method == b"HEAD" or status < HTTPStatus.OK or status in BODYLESS_STATUSES:
         return Framing.NONE
     if b"chunked" in headers.tokens(b"transfer-encoding"):
@@ -91,7 +91,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Frame one piece of a chunked body."""
+    """Encode data as one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
--- a/src/leadhollow/http1/peer_backoffs.py
+++ b/src/leadhollow/http1/peer_backoffs.py
@@ -1,4 +1,4 @@
-"""Peers that asked for patience (429 or 503 with Retry-After), and until when they get nothing."""
+"""Back-offs that peers asked for with a status of 429 or 503 and a Retry-After field."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 class PeerBackoffs:
-    """Rests by address; the latest end holds, and suspensions count."""
+    """Ends of back-offs by address.
+
+    A new back-off never shortens an earlier one. Time in which the machine is suspended counts.
+    """
 
     __slots__ = ("_until_s",)
 
@@ -25,30 +28,33 @@
         self._until_s: dict[str, float] = {}
 
     def record_response(self, address: Address, head: ResponseHead) -> None:
-        """Take what an answer asks for; a value that is no number of seconds asks for nothing."""
+        """Start a back-off if the response asks for one.
+
+        A Retry-After value that is not a number of seconds is ignored.
+        """
         if head.status not in BACKOFF_STATUSES:
             return
-        rest_s = parse_decimal(head.headers.get_all(RETRY_AFTER))
-        if not rest_s:
+        backoff_s = parse_decimal(head.headers.get_all(RETRY_AFTER))
+        if not backoff_s:
             return
-        log.info("peer wants rest", address=str(address), status=head.status, rest_s=rest_s)
-        until_s = clocks.elapsed_s() + rest_s
+        log.info("peer wants rest", address=str(address), status=head.status, rest_s=backoff_s)
+        until_s = clocks.elapsed_s() + backoff_s
         self._until_s[str(address)] = max(until_s, self._until_s.get(str(address), until_s))
 
     def remaining_s(self, address: Address) -> float:
-        """Give the time for which an address gets nothing."""
+        """Return the remaining time of the back-off of an address, or 0."""
         until_s = self._until_s.get(str(address))
         if until_s is None:
             return 0.0
-        left_s = until_s - clocks.elapsed_s()
-        if left_s > 0:
-            return left_s
+        remaining_s = until_s - clocks.elapsed_s()
+        if remaining_s > 0:
+            return remaining_s
         del self._until_s[str(address)]
         return 0.0
 
     def forget(self, address: Address) -> None:
-        """Note that another process has the address."""
+        """Remove the back-off of an address, because another process has the address now."""
         self._until_s.pop(str(address), None)
 
 
-__all__ = ["PeerRests"]
+__all__ = ["PeerBackoffs"]
--- a/src/leadhollow/http1/reply.py
+++ b/src/leadhollow/http1/reply.py
@@ -1,4 +1,4 @@
-"""Writes one answer to a caller."""
+"""Writing of a response to a caller."""
 
 from __future__ import annotations
 
@@ -15,27 +15,29 @@
     encode_chunk,
 )
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # linger for no time: the kernel sends a reset
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, with 0 s: closing sends a reset
 
 
 class ReplyWriter:
-    """One answer on one connection; each method is called at most as its name says.
+    """Writes one response on a connection: start, any number of writes, finish or abort.
 
     Parameters
     ----------
     request
-        What is answered; it decides how the body is framed.
-    drained
-        Set while the socket takes more bytes.
+        The request, which determines the framing of the body.
+    writable
+        Event that is set while the write buffer has room.
+    close_after
+        Whether the connection ends after the response.
     """
 
     __slots__ = (
         "_chunked",
-        "_writable",
         "_ends_with_connection",
         "_remaining_bytes",
         "_request",
         "_transport",
+        "_writable",
         "bytes_sent",
         "close_after",
         "finished",
@@ -71,16 +73,16 @@
         reason: bytes | None = None,
         content_length: int | None = None,
     ) -> None:
-        """Write the head.
+        """Write the head of the response.
 
         Parameters
         ----------
         headers
-            Without the fields that frame the body or concern the connection.
+            Fields other than the hop-by-hop ones and those that frame the body.
         reason
-            Text of the status line; the standard one where it is None.
+            Reason phrase; None for the standard one.
         content_length
-            Length of the body in bytes; None where it is not known beforehand.
+            Length of the body in bytes; None if it is not known in advance.
         """
         self.started = True
         self.status = status
@@ -103,7 +105,7 @@
         self._transport.write(b"".join(lines))
 
     async def write(self, data: bytes) -> None:
-        """Write a part of the body; waits while the caller reads slowly."""
+        """Write a part of the body; waits while the write buffer is full."""
         if not data or self._remaining_bytes == 0:
             return
         if self._remaining_bytes is not None:
@@ -115,12 +117,10 @@
             await self._writable.wait()
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """Complete the response; abort it if the body is shorter than declared."""
         if self.finished:
             return
-        if (
-            self._remaining_bytes
-        ):  # the declared length was not reached: this must not look complete
+        if self._remaining_bytes:  # shorter than declared: must not look complete
             self.abort()
             return
         self.finished = True
@@ -128,15 +128,18 @@
             self._transport.write(LAST_CHUNK)
 
     def abort(self) -> None:
-        """Break the connection, so that what was sent cannot look complete."""
+        """Abort the connection, so the response cannot be taken for a complete one.
+
+        A response that ends with its connection needs a reset for this.
+        """
         self.close_after = True
-        opened = self._transport.get_extra_info("socket")
-        if self.started and self._ends_with_connection and opened is not None:
-            opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        sock = self._transport.get_extra_info("socket")
+        if self.started and self._ends_with_connection and sock is not None:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self._transport.abort()
 
     async def send(self, status: int, headers: Headers, body: bytes = b"") -> None:
-        """Write a whole short answer."""
+        """Write a whole response."""
         self.start(status, headers, content_length=len(body))
         await self.write(body)
         self.finish()
--- a/src/leadhollow/http1/server.py
+++ b/src/leadhollow/http1/server.py
@@ -1,4 +1,4 @@
-"""Listener for callers, operators and announcements."""
+"""HTTP server for callers, operators and announcements."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 from leadhollow.http1.server_connection import Handler, HttpLimits, ServerConnection
 from leadhollow.settings.address import Address
 
-BACKLOG = 1_024  # connections that wait for us to wake; a full queue costs callers seconds
+BACKLOG = 1_024  # listen queue; if it overflows, callers retry their SYN after seconds
 IDLE_POLL_S = 0.05
 
 
 class HttpServer:
-    """Accepts connections and serves each with the same handler.
+    """Accepts connections and passes their requests to a handler.
 
     Parameters
     ----------
     address
-        Where to listen; port 0 takes a free one.
+        Address to listen on; port 0 takes a free port.
+    handler
+        Handles each request.
     limits
-        Gives the limits in force now.
+        Returns the limits that apply now.
     """
 
     __slots__ = ("_closing", "_connections", "_handler", "_limits", "_server", "address")
@@ -45,7 +47,7 @@
 
     @property
     def busy_count(self) -> int:
-        """Connections on which a request is being answered, or an answer is still being read."""
+        """Number of connections with a request in progress or response bytes not sent yet."""
         return sum(
             1 for connection in self._connections if connection.busy or connection.has_unsent_bytes
         )
@@ -56,7 +58,7 @@
         Errors
         ------
         ADDRESS_IN_USE
-            The address cannot be listened on.
+            The listener cannot be opened on the address.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -70,18 +72,18 @@
         return Ok(None)
 
     def announce_close(self) -> None:
-        """Tell each caller with its next answer that the connection ends."""
+        """Send ``Connection: close`` with every response from now on."""
         self._closing = True
 
     def stop_accepting(self) -> None:
-        """Close the listener and the connections on which nothing happens."""
+        """Close the listener and all idle connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self._connections):
             connection.close_if_idle()
 
     async def wait_idle(self, deadline_s: float) -> bool:
-        """Wait until no request is in progress.
+        """Wait until no connection is busy; return False if some are at the deadline.
 
         Parameters
         ----------
--- a/src/leadhollow/http1/server_connection.py
+++ b/src/leadhollow/http1/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: requests are read, handed on and answered one after the other."""
+"""Server connection of a caller: parses requests and passes them to a handler, one at a time."""
 
 from __future__ import annotations
 
@@ -20,14 +20,16 @@
 from leadhollow.kernel.active_time import ActiveClock, ActiveTimer, active_timeout
 from leadhollow.observe.logs import get_logger
 
-LINGER_S = 1.0  # time a caller gets to read an early answer before its unread bytes reset it
+LINGER_S = 1.0  # time to read an early response; closing with unread input resets the connection
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 log = get_logger("http")
 
 
 class HttpLimits:
-    """What callers may send, and how long they may take.
+    """Size limits and timeouts for requests of callers.
+
+    Both timeouts count active time only, so a stall of the event loop does not expire them.
 
     Parameters
     ----------
@@ -36,8 +38,7 @@
     header_timeout_ms
         Time between the first byte of a request and the end of its head.
     idle_timeout_ms
-        Time that a connection without a request stays open. Both count only while we could hear
-        the caller.
+        Time for which a connection without a request stays open.
     """
 
     __slots__ = ("body_bytes", "header_bytes", "header_timeout_ms", "idle_timeout_ms")
@@ -57,7 +58,7 @@
 
 
 class IncomingRequest:
-    """A request whose head has been read; its body may still arrive.
+    """A request whose head was received; its body may still arrive.
 
     Parameters
     ----------
@@ -78,42 +79,45 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """Reads requests off one socket.
+    """Serves the requests of one connection.
 
-    The handler runs in the connection's one task; that task is cancelled when the caller leaves.
+    The handler runs in the only task of the connection. That task is cancelled when the caller
+    disconnects.
 
     Parameters
     ----------
     handler
-        Answers one request.
+        Handles one request.
     limits
-        Gives the limits in force now.
-    closing
-        Tells whether the server is about to stop, so that answers say that the connection ends.
+        Returns the limits that apply now.
+    is_closing
+        Returns whether the server is about to stop; responses then end the connection.
+    connections
+        Set of open connections, to which this one adds itself.
     """
 
     __slots__ = (
         "_clock",
-        "_is_closing",
         "_connections",
         "_current",
-        "_writable",
+        "_error_status",
         "_handler",
         "_head_bytes",
         "_header_timer",
         "_headers",
+        "_idle_expired",
         "_idle_since_s",
         "_idle_timer",
-        "_idle_expired",
         "_in_head",
+        "_is_closing",
         "_limits",
         "_parser",
-        "_error_status",
         "_requests",
         "_target",
         "_task",
         "_transport",
         "_wake",
+        "_writable",
         "busy",
     )
 
@@ -141,7 +145,7 @@
         self._in_head = False
         self._header_timer: ActiveTimer | None = None
         self._clock: ActiveClock = active_time.clock()
-        self._idle_since_s: float | None = None  # while no request is read or answered
+        self._idle_since_s: float | None = None  # set while no request is in progress
         self._idle_timer: ActiveTimer | None = None
         self._idle_expired = False
         self._wake = asyncio.Event()
@@ -149,18 +153,18 @@
         self._writable.set()
         self.busy = False
 
-    # asyncio's callbacks
+    # asyncio callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the connection's task."""
-        socket_transport = cast("asyncio.Transport", transport)  # uvloop's is no subclass of it
+        """Start the task of the connection."""
+        socket_transport = cast("asyncio.Transport", transport)  # uvloop's does not subclass it
         self._transport = socket_transport
         self._connections.add(self)
         self._task = asyncio.get_running_loop().create_task(self._run(socket_transport))
         self._schedule_idle_check(self._idle_s())
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived."""
+        """Parse received bytes and enforce the limits of the head."""
         if self._error_status is not None:
             return
         if self._in_head or self._current is None:
@@ -168,9 +172,9 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._reject(HTTPStatus.BAD_REQUEST)  # nothing but HTTP/1.1 is spoken here
+            self._reject(HTTPStatus.BAD_REQUEST)  # upgrades are not supported
         except httptools.HttpParserError as error:
-            log.warning("request not understood", error=str(error))
+            log.warning("malformed request", error=str(error))
             self._reject(HTTPStatus.BAD_REQUEST)
         if self._in_head and self._head_bytes > self._limits().header_bytes:
             self._reject(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
@@ -180,11 +184,11 @@
             )
 
     def eof_received(self) -> bool:
-        """Treat a half-closed connection as left."""
+        """Close the connection: a caller that half-closes it counts as disconnected."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the request in progress: nobody waits for its answer."""
+        """Cancel the request in progress, whose response cannot be delivered."""
         self._connections.discard(self)
         self._stop_header_timer()
         if self._idle_timer is not None:
@@ -193,31 +197,31 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Make writers wait."""
+        """Block writers while the write buffer is full."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Unblock writers."""
         self._writable.set()
 
-    # the parser's callbacks
+    # parser callbacks
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a request."""
         self._target = b""
         self._headers = Headers()
         self._in_head = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a field."""
+        """Add a header field."""
         self._headers.add(name, value)
 
     def on_headers_complete(self) -> None:
-        """Hand the request on."""
+        """Queue the request for the task of the connection."""
         self._in_head = False
         self._stop_header_timer()
         if self._head_bytes > self._limits().header_bytes and self._encoded_head_bytes() > (
@@ -244,35 +248,35 @@
         self._wake.set()
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body."""
         if self._current is not None:
             self._current.body.feed(data)
 
     def on_message_complete(self) -> None:
-        """Note that the request is whole."""
+        """Complete the request."""
         if self._current is not None:
             self._current.keep_alive = self._parser.should_keep_alive()
             self._current.body.finish()
             self._current = None
 
-    # control by the server
+    # interface for the server
 
     def close_if_idle(self) -> None:
-        """Close unless a request is being read or answered."""
+        """Close the connection unless a request is being received or handled."""
         if not self.busy and not self._requests and not self._in_head and self._transport:
             self._transport.close()
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Whether bytes of an answer wait for the caller to read."""
+        """Whether the write buffer holds bytes of a response."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     def abort(self) -> None:
-        """End at once; what the caller has not read is dropped."""
+        """Abort the connection and drop bytes that were not sent."""
         if self._transport is not None:
             self._transport.abort()
 
-    # the connection's task
+    # task of the connection
 
     async def _run(self, transport: asyncio.Transport) -> None:
         try:
@@ -296,7 +300,7 @@
             transport.close()
 
     async def _wait_request(self) -> bool:
-        """Wait for the next request; False where the connection ends without one."""
+        """Wait for the next request; return False if the connection is to end without one."""
         while not self._requests:
             if self._error_status is not None or (self._idle_expired and not self._in_head):
                 return False
@@ -312,21 +316,21 @@
         return self._limits().idle_timeout_ms / 1000
 
     def _schedule_idle_check(self, delay_s: float) -> None:
-        """Look later whether the connection is idle: requests set no timer of their own."""
+        """Schedule an idle check; one repeating timer saves setting a timer per request."""
         self._idle_timer = ActiveTimer(delay_s=delay_s, callback=self._check_idle)
 
     def _check_idle(self) -> None:
         if self._idle_since_s is None or self._in_head:
             self._schedule_idle_check(self._idle_s())
             return
-        left_s = self._idle_s() - (self._clock.active_s() - self._idle_since_s)
-        if left_s <= 0:
+        remaining_s = self._idle_s() - (self._clock.active_s() - self._idle_since_s)
+        if remaining_s <= 0:
             self._idle_expired = True
             self._wake.set()
-        self._schedule_idle_check(left_s if left_s > 0 else self._idle_s())
+        self._schedule_idle_check(remaining_s if remaining_s > 0 else self._idle_s())
 
     async def _serve(self, transport: asyncio.Transport, request: IncomingRequest) -> bool:
-        """Answer one request; True where the connection must end."""
+        """Handle one request; return True if the connection must end."""
         reply = ReplyWriter(
             transport=transport,
             request=request.head,
@@ -350,14 +354,18 @@
         return request.body.failed
 
     async def _drain_body(self, request: IncomingRequest) -> None:
-        """Read the rest of a body that was answered early."""
+        """Read and drop the rest of a body whose response was sent early."""
         while not request.body.complete and not request.body.failed:
             read = await request.body.read()
             if read.is_err() or not read.unwrap():
                 return
 
     async def _linger(self, request: IncomingRequest) -> None:
-        """Let the caller take its answer before bytes that nobody read reset the connection."""
+        """Drain the request body for a limited time before the connection is closed.
+
+        Closing with unread input would reset the connection, and the caller could lose the
+        response.
+        """
         if request.body.complete:
             return
         try:
--- a/src/leadhollow/observe/__init__.py
+++ b/src/leadhollow/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Structured logs and metrics."""
+"""Structured logs, and metrics over statsd."""
--- a/src/leadhollow/observe/line_output.py
+++ b/src/leadhollow/observe/line_output.py
@@ -1,4 +1,4 @@
-"""Lines for a reader that may stand still: nothing waits for it, and what is lost is counted."""
+"""Line output that never blocks on a slow reader, and counts the lines that it drops."""
 
 from __future__ import annotations
 
@@ -14,60 +14,60 @@
 from leadhollow.kernel.clocks import boot_s
 from leadhollow.observe.sinks import Sink
 
-MAX_BUFFERED_BYTES = 256 * 1024  # most that waits for the reader
-BATCH_BYTES = select.PIPE_BUF  # a pipe takes so much whole or not at all
+MAX_BUFFERED_BYTES = 256 * 1024
+BATCH_BYTES = select.PIPE_BUF  # writes to a pipe are atomic up to this size
 MIN_RETRY_INTERVAL_S = 0.05
-MAX_RETRY_INTERVAL_S = 1.0  # between two tries while the reader takes nothing
-FINAL_FLUSH_TIMEOUT_S = 1.0  # longest time that a process which ends waits for the reader
+MAX_RETRY_INTERVAL_S = 1.0  # reached while the reader accepts nothing
+FINAL_FLUSH_TIMEOUT_S = 1.0  # longest wait for the reader when the process exits
 FINAL_RETRY_INTERVAL_S = 0.005
 
 
 class LineOutput:
-    """Writes lines in order, without ever waiting for their reader.
+    """Writes lines in order without blocking on the reader.
 
-    Lines for which there is no room are held back, up to a bound. Those beyond it are dropped, and
-    all after them until the reader has taken what was held back; then their count is written.
-    What is held back is tried again with each new line and, on an event loop, by a timer.
+    Lines that the sink cannot accept are buffered, up to a limit. When the limit is reached, lines
+    are dropped until the buffer was written; then a notice with their count is written. Buffered
+    lines are retried with each new line and, on an event loop, by a timer.
 
     Parameters
     ----------
-    outlet
-        Takes the bytes.
-    notice
-        Renders the line that says how many were dropped.
+    sink
+        Sink to write to.
+    drop_notice
+        Renders the notice for a number of dropped lines.
     """
 
     __slots__ = (
-        "_writing",
-        "_dropped",
-        "_write_failed",
+        "_batch",
         "_buffer",
         "_buffered_bytes",
-        "_lock",
         "_drop_notice",
-        "_sink",
+        "_dropped",
+        "_has_partial_line",
+        "_lock",
         "_retry_interval_s",
-        "_batch",
         "_retry_loop",
-        "_has_partial_line",
+        "_sink",
+        "_write_failed",
+        "_writing",
     )
 
     def __init__(self, *, sink: Sink, drop_notice: Callable[[int], bytes]) -> None:
         self._sink = sink
         self._drop_notice = drop_notice
         self._lock = threading.RLock()
-        self._writing = False  # a collection of garbage in the middle of a write may log too
+        self._writing = False  # garbage collection during a write may log, and re-enter here
         self._buffer: deque[bytes] = deque()
         self._buffered_bytes = 0
-        self._batch = b""  # what is tried next, kept for as long as it is refused
-        self._has_partial_line = False  # whether the first one held is the rest of a line
+        self._batch = b""  # next write; kept until the sink accepts some of it
+        self._has_partial_line = False  # the first entry of the buffer is the rest of a line
         self._dropped = 0
-        self._write_failed = False  # whether the last try met an error
+        self._write_failed = False  # the last attempt raised an error
         self._retry_interval_s = MIN_RETRY_INTERVAL_S
         self._retry_loop: asyncio.AbstractEventLoop | None = None
 
     def write(self, line: bytes) -> None:
-        """Write a line, now or as soon as the reader lets us."""
+        """Write a line now, or buffer it until the sink has room."""
         with self._lock:
             if self._has_pending:
                 self._drain()
@@ -79,7 +79,7 @@
                 self._schedule_retry()
 
     def flush_at_exit(self) -> None:
-        """Write what is held back; a reader that takes nothing is waited for only so long."""
+        """Write the buffered lines; waits for the reader at most `FINAL_FLUSH_TIMEOUT_S`."""
         deadline_s = boot_s() + FINAL_FLUSH_TIMEOUT_S
         with self._lock:
             self._drain()
@@ -92,30 +92,30 @@
         return bool(self._buffer or self._dropped)
 
     def _drain(self) -> None:
-        """Write of what is held back as much as there is room for, and then what was dropped."""
+        """Write buffered lines while the sink has room, then the notice of dropped lines."""
         if self._writing:
             return
         self._writing, self._write_failed = True, False
         try:
-            while self._buffer and (taken := self._try_write(self._next_batch())):
-                self._consume(taken)
+            while self._buffer and (written := self._try_write(self._next_batch())):
+                self._consume(written)
             if self._dropped and not self._buffer and not self._write_failed:
                 notice = self._drop_notice(self._dropped)
-                if taken := self._try_write(notice):
+                if written := self._try_write(notice):
                     self._dropped = 0
-                    self._buffer_rest(notice, taken)
+                    self._buffer_rest(notice, written)
         finally:
             self._writing = False
 
     def _write_now(self, line: bytes) -> None:
-        """Write a line before which nothing waits."""
+        """Write a line when nothing is buffered before it."""
         self._writing, self._write_failed = True, False
         try:
-            taken = self._try_write(line)
+            written = self._try_write(line)
             if self._write_failed:
                 self._dropped += 1
-            elif taken < len(line):
-                self._buffer_rest(line, taken)
+            elif written < len(line):
+                self._buffer_rest(line, written)
         finally:
             self._writing = False
 
@@ -124,39 +124,39 @@
             return self._sink.write(data)
         except BlockingIOError:
             return 0
-        except OSError:  # a reader that is gone, a full disk: said by the count, if ever
+        except OSError:  # closed reader or full disk; a later notice counts the lost lines
             self._write_failed = True
             self._drop_buffered()
             return 0
 
     def _next_batch(self) -> bytes:
-        """Give whole lines that a pipe takes at once, or one that is too long for it."""
+        """Return lines that fit an atomic write to a pipe, or one line that is too long for it."""
         if self._batch:
             return self._batch
         count, size = 1, len(self._buffer[0])
         while count < len(self._buffer) and size + len(self._buffer[count]) <= BATCH_BYTES:
             size += len(self._buffer[count])
             count += 1
-        self._batch = b"".join([self._buffer[place] for place in range(count)])
+        self._batch = b"".join([self._buffer[index] for index in range(count)])
         return self._batch
 
-    def _consume(self, taken: int) -> None:
+    def _consume(self, written: int) -> None:
         self._batch = b""
-        self._buffered_bytes -= taken
-        while taken and taken >= len(self._buffer[0]):
-            taken -= len(self._buffer.popleft())
+        self._buffered_bytes -= written
+        while written and written >= len(self._buffer[0]):
+            written -= len(self._buffer.popleft())
             self._has_partial_line = False
-        if taken:
-            self._buffer[0] = self._buffer[0][taken:]
+        if written:
+            self._buffer[0] = self._buffer[0][written:]
             self._has_partial_line = True
 
-    def _buffer_rest(self, line: bytes, taken: int) -> None:
-        """Hold back what is left of a line; it comes before all else."""
-        if taken < len(line):
+    def _buffer_rest(self, line: bytes, written: int) -> None:
+        """Put the rest of a line at the front of the buffer."""
+        if written < len(line):
             self._batch = b""
-            self._buffer.appendleft(line[taken:])
-            self._buffered_bytes += len(line) - taken
-            self._has_partial_line = taken > 0
+            self._buffer.appendleft(line[written:])
+            self._buffered_bytes += len(line) - written
+            self._has_partial_line = written > 0
 
     def _buffer_line(self, line: bytes) -> None:
         if self._dropped or self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
@@ -166,14 +166,17 @@
             self._buffered_bytes += len(line)
 
     def _drop_buffered(self) -> None:
-        """Count all lines held back as dropped, but for the rest of one that was begun."""
+        """Drop and count all buffered lines except the rest of a partly written one."""
         self._batch = b""
         while len(self._buffer) > self._has_partial_line:
             self._buffered_bytes -= len(self._buffer.pop())
             self._dropped += 1
 
     def _schedule_retry(self) -> None:
-        """Try again by a timer, unless one is set or only a new line may show a change."""
+        """Schedule a retry on the running loop.
+
+        Does nothing if one is scheduled there, or after an error, when only a new line retries.
+        """
         if self._write_failed:
             return
         try:
@@ -189,10 +192,10 @@
             self._retry_loop = None
             before = (self._buffered_bytes, self._dropped)
             self._drain()
-            moved = before != (self._buffered_bytes, self._dropped)
+            progressed = before != (self._buffered_bytes, self._dropped)
             self._retry_interval_s = (
                 MIN_RETRY_INTERVAL_S
-                if moved
+                if progressed
                 else min(2 * self._retry_interval_s, MAX_RETRY_INTERVAL_S)
             )
             if self._has_pending:
@@ -200,17 +203,17 @@
 
 
 class LineStream(io.TextIOBase):
-    """A standard error whose writes do not wait; whole lines are passed on."""
+    """Replacement for standard error that does not block; writes whole lines to the output."""
 
     def __init__(self, *, output: LineOutput, descriptor: int) -> None:
         super().__init__()
         self._lock = threading.RLock()
         self._output = output
         self._descriptor = descriptor
-        self._partial_line = ""  # a line that has no end yet
+        self._partial_line = ""
 
     def write(self, text: str) -> int:
-        """Write a text, which is passed on once its line ends."""
+        """Write text; it is passed to the output at the end of the line."""
         if text.endswith("\n") and not self._partial_line:
             self._output.write(text.encode("utf-8", "backslashreplace"))
             return len(text)
@@ -221,7 +224,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Pass on a line that has no end yet."""
+        """Pass an unfinished line to the output."""
         if not self._partial_line:
             return
         with self._lock:
@@ -229,15 +232,15 @@
             self._output.write(text.encode("utf-8", "backslashreplace"))
 
     def writable(self) -> bool:
-        """Tell that texts can be written."""
+        """Return True."""
         return True
 
     def fileno(self) -> int:
-        """Give the descriptor."""
+        """Return the file descriptor."""
         return self._descriptor
 
     def isatty(self) -> bool:
-        """Tell whether it is a terminal."""
+        """Return whether the file descriptor is a terminal."""
         return os.isatty(self._descriptor)
 
 
--- a/src/leadhollow/observe/logs.py
+++ b/src/leadhollow/observe/logs.py
@@ -1,4 +1,4 @@
-"""Log records with fields, through absl: one JSON line each, or text on a terminal."""
+"""Structured logging on absl: one JSON line per record, or text for a terminal."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class LogFormat(Enum):
-    """How records are printed."""
+    """Format of log records."""
 
     JSON = "json"
     TEXT = "text"
 
 
 class _FieldFormatter(standard_logging.Formatter):
-    """Prints a record with its fields."""
+    """Formats a record with its fields."""
 
     def __init__(self, log_format: LogFormat) -> None:
         super().__init__()
         self._json = log_format is LogFormat.JSON
 
     def format(self, record: standard_logging.LogRecord) -> str:
-        """Render one record on one line."""
+        """Format a record as one line."""
         fields: dict[str, object] = getattr(record, "fields", {})
         component = getattr(record, "component", record.name)
         if record.exc_info:
@@ -45,13 +45,15 @@
                 **fields,
             }
             return msgspec.json.encode(line, enc_hook=str).decode()
-        stamp = time.strftime("%H:%M:%S", time.localtime(record.created))
+        timestamp = time.strftime("%H:%M:%S", time.localtime(record.created))
         pairs = " ".join(f"{name}={value}" for name, value in fields.items())
-        return f"{stamp} {record.levelname[0]} {component}: {record.getMessage()} {pairs}".rstrip()
+        return (
+            f"{timestamp} {record.levelname[0]} {component}: {record.getMessage()} {pairs}".rstrip()
+        )
 
 
 class Logger:
-    """Names the component of each record and carries its fields."""
+    """Logs records with fields, under the name of a component."""
 
     __slots__ = ("_component",)
 
@@ -59,23 +61,23 @@
         self._component = component
 
     def debug(self, message: str, **fields: object) -> None:
-        """Record a detail."""
+        """Log a detail."""
         self._log(standard_logging.DEBUG, message, fields)
 
     def info(self, message: str, **fields: object) -> None:
-        """Record a normal event."""
+        """Log a normal event."""
         self._log(standard_logging.INFO, message, fields)
 
     def warning(self, message: str, **fields: object) -> None:
-        """Record something an operator may want to look at."""
+        """Log an event that an operator may want to look at."""
         self._log(standard_logging.WARNING, message, fields)
 
     def error(self, message: str, **fields: object) -> None:
-        """Record a failure."""
+        """Log a failure."""
         self._log(standard_logging.ERROR, message, fields)
 
     def exception(self, message: str, **fields: object) -> None:
-        """Record a failure with the exception in flight."""
+        """Log a failure with the exception being handled."""
         self._log(standard_logging.ERROR, message, fields, exc_info=True)
 
     def _log(
@@ -88,14 +90,15 @@
 
 
 def get_logger(component: str) -> Logger:
-    """Give the logger of a component."""
+    """Return a logger for a component."""
     return Logger(component=component)
 
 
 def configure_logs(*, log_format: LogFormat, level: str) -> None:
-    """Send records of a process that serves to standard error, without waiting for its reader.
+    """Configure logging of a server process: to standard error, without blocking on its reader.
 
-    All else that is written to ``sys.stderr`` goes the same way, such as an uncaught exception.
+    This replaces ``sys.stderr``, so other output such as an uncaught exception does not block
+    either.
 
     Parameters
     ----------
@@ -113,8 +116,8 @@
 
 
 def configure_command_logs(*, log_format: LogFormat, level: str) -> None:
-    """Send records of a command to standard error as it is."""
-    flags.FLAGS.mark_as_parsed()  # absl warns on standard error of records before its flags
+    """Configure logging of a command: to standard error, which is left as it is."""
+    flags.FLAGS.mark_as_parsed()  # else absl warns that records precede the parsing of its flags
     handler = absl_logging.get_absl_handler()
     handler.setFormatter(_FieldFormatter(log_format))
     absl_logging.use_absl_handler()
@@ -124,7 +127,7 @@
 
 
 def _dropped_notice(count: int) -> bytes:
-    """Render the line that stands for lines that were dropped."""
+    """Render the log line that counts dropped lines."""
     logger = absl_logging.get_absl_logger()
     record = logger.makeRecord(
         logger.name,
@@ -140,7 +143,7 @@
 
 
 def log_decision(decision: str, **fields: object) -> None:
-    """Write the line of one routing or placement decision."""
+    """Log a routing or placement decision."""
     _decisions.info(decision, **fields)
 
 
--- a/src/leadhollow/observe/metrics.py
+++ b/src/leadhollow/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges, sent by statsd over UDP."""
+"""Counters, gauges and timings, sent to statsd over UDP."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    """Sends metrics with a prefix, or drops them where no sink is set."""
+    """Sends metrics with a prefix, or drops them if there is no sink."""
 
     __slots__ = ("_client",)
 
@@ -16,11 +16,11 @@
         self._client = (
             None if sink is None else StatsClient(host=sink.host, port=sink.port, prefix=prefix)
         )
-        if self._client is not None:  # a full socket loses the datagram, it does not wait
+        if self._client is not None:  # if the send buffer is full, datagrams are lost
             self._client._sock.setblocking(False)
 
     def count(self, name: str, value: int = 1) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         if self._client is not None:
             self._client.incr(name, value)
 
--- a/src/leadhollow/observe/process_metrics.py
+++ b/src/leadhollow/observe/process_metrics.py
@@ -1,4 +1,4 @@
-"""Reports what this process itself spends: processor time, memory and bytes to other processes."""
+"""Metrics of the process itself: CPU time, memory and control traffic with other processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ProcessMetrics(TaskService):
-    """Sends gauges of this process once a second."""
+    """Sends gauges of this process every `INTERVAL_S`."""
 
     __slots__ = ("_metrics", "_traffic")
 
@@ -35,7 +35,7 @@
 
 
 def resident_bytes() -> int:
-    """Give the resident memory of this process."""
+    """Return the resident memory of this process in bytes."""
     fields = Path("/proc/self/statm").read_text(encoding="ascii").split()
     return int(fields[1]) * PAGE_BYTES
 
--- a/src/leadhollow/observe/sinks.py
+++ b/src/leadhollow/observe/sinks.py
@@ -1,7 +1,7 @@
-"""Ways to write to a descriptor without waiting for whoever reads it.
+"""Sinks that write to a file descriptor without blocking on its reader.
 
-The file description of standard error is shared with whoever started the process and with all who
-were given it too. Making it non-blocking would have their writes refused, so it stays as it is.
+Other processes share the open file description of standard error, such as the parent process.
+Setting O_NONBLOCK on it would make their writes fail, so its flags are left as they are.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 
 
 class Sink(Protocol):
-    """Takes bytes."""
+    """Accepts bytes without blocking."""
 
     def write(self, data: bytes) -> int:
-        """Write what there is room for; gives how many bytes that was.
+        """Write as many bytes as there is room for, and return their number.
 
         Raises
         ------
         BlockingIOError
             There is no room now.
         OSError
-            Nothing can be written.
+            The write failed.
         """
 
 
 class DirectSink:
-    """Writes to a file, or to a description of our own that does not block."""
+    """Writes to a regular file, or to a non-blocking file description of this process."""
 
     __slots__ = ("_descriptor",)
 
@@ -42,7 +42,7 @@
 
 
 class SocketSink:
-    """Writes to a socket; that it must not wait is said with each call."""
+    """Writes to a socket, with MSG_DONTWAIT in each call."""
 
     __slots__ = ("_socket",)
 
@@ -55,9 +55,9 @@
 
 
 class PolledSink:
-    """Asks before each write whether there is room, which holds for so much as is written at once.
+    """Polls for room before each write of at most PIPE_BUF bytes.
 
-    Another process that fills a shared pipe between the two can still make the write wait.
+    The write can still block if another process fills a shared pipe after the poll.
     """
 
     __slots__ = ("_descriptor", "_poll")
@@ -77,11 +77,11 @@
         try:
             return bool(self._poll.poll(0))
         except OSError:
-            return True  # asking is refused here; lines matter more than a wait
+            return True  # polling is not permitted; losing lines is worse than blocking
 
 
 def open_sink(descriptor: int) -> Sink:
-    """Find the way that fits what a descriptor stands for."""
+    """Return a sink that suits the file type of a descriptor."""
     try:
         kind = stat.S_IFMT(os.fstat(descriptor).st_mode)
         if kind == stat.S_IFREG:
@@ -94,23 +94,23 @@
 
 
 def _reopen(descriptor: int) -> int:
-    """Open what a descriptor stands for once more, for writes that do not block.
+    """Open the file of a descriptor again, for non-blocking writes.
 
     Raises
     ------
     OSError
-        It is refused, or something else was opened.
+        Opening is not permitted, or another file was opened.
     """
     flags = os.O_WRONLY | os.O_NONBLOCK | os.O_NOCTTY
-    opened = os.open(f"/proc/self/fd/{descriptor}", flags)
+    reopened = os.open(f"/proc/self/fd/{descriptor}", flags)
     try:
-        same = os.path.sameopenfile(opened, descriptor) and not os.get_blocking(opened)
+        same = os.path.sameopenfile(reopened, descriptor) and not os.get_blocking(reopened)
     except OSError:
         same = False
     if not same:
-        os.close(opened)
+        os.close(reopened)
         raise OSError
-    return opened
+    return reopened
 
 
-__all__ = ["DirectOutlet", "Outlet", "PolledOutlet", "SocketOutlet", "open_outlet"]
+__all__ = ["DirectSink", "PolledSink", "Sink", "SocketSink", "open_sink"]
--- a/src/leadhollow/observe/unknown_fields.py
+++ b/src/leadhollow/observe/unknown_fields.py
@@ -1,4 +1,4 @@
-"""Reports fields of messages that nobody decodes."""
+"""Logging of message fields that this software does not decode."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from leadhollow.observe.logs import get_logger
 
 MAX_NAMES = 64
-"""Names that are remembered of one kind of message, so that no sender can fill the logs."""
+"""Most names remembered per kind of message, so a sender cannot flood the logs."""
 
 MAX_LOGGED_CHARACTERS = 64
 
@@ -21,11 +21,11 @@
     Parameters
     ----------
     message
-        Kind of message, as it is named in the log.
+        Kind of message, as named in the log.
     known
-        Names that are decoded, or ignored on purpose; for headers in lower case.
+        Names that are decoded, or ignored on purpose; in lower case for headers.
     unusual
-        Those of them that few messages have.
+        Known names that few messages have.
 
     Attributes
     ----------
@@ -43,7 +43,7 @@
         self.reported: set[str] = set()
 
     def check_headers(self, headers: Headers, *, sender: str) -> bool:
-        """Note the header fields of a message; False where it has none but usual ones."""
+        """Report unknown header fields; return False if the message has only usual ones."""
         seen = self._seen
         unusual = [name for name, _ in headers if name not in seen]
         for name in unusual:
@@ -51,7 +51,7 @@
         return bool(unusual)
 
     def check_members(self, names: Iterable[str], *, sender: str) -> None:
-        """Note the members of a JSON object."""
+        """Report unknown members of a JSON object."""
         for name in names:
             if name not in self._seen:
                 self._check(name, name, sender)
@@ -70,4 +70,4 @@
         )
 
 
-__all__ = ["MOST_NAMES", "UnknownFields"]
+__all__ = ["MAX_NAMES", "UnknownFields"]
--- a/src/leadhollow/wire/__init__.py
+++ b/src/leadhollow/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between leadhollow's own processes."""
+"""Framed thrift messages between leadhollow processes."""
--- a/src/leadhollow/wire/codec.py
+++ b/src/leadhollow/wire/codec.py
@@ -1,4 +1,4 @@
-"""Frames to bytes and back, by thrift's compact protocol."""
+"""Encoding and decoding of frames with thrift's compact protocol."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class _Collector:
-    """Minimal thrift transport that keeps what is written."""
+    """Minimal thrift transport that collects written data."""
 
     __slots__ = ("parts",)
 
@@ -48,7 +48,7 @@
         self.parts: list[bytes] = [b""]
 
     def write(self, data: bytes) -> None:
-        """Keep one piece."""
+        """Append data."""
         self.parts.append(data)
 
 
@@ -57,16 +57,16 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Encode a frame with its length in front.
+    """Encode a frame with a length prefix.
 
     Returns
     -------
     bytes
-        Four bytes of big-endian length, the header, then the body if there is one.
+        Length as four big-endian bytes, the header, and the body if there is one.
     """
-    number = BODY_NUMBERS[type(frame.body)] if frame.body is not None else 0
+    body_number = BODY_NUMBERS[type(frame.body)] if frame.body is not None else 0
     header = Header(
-        int(frame.kind), frame.call_id, number, frame.code or None, frame.detail or None
+        int(frame.kind), frame.call_id, body_number, frame.code or None, frame.detail or None
     )
     parts = _collector.parts
     del parts[1:]
@@ -81,33 +81,33 @@
 
 
 def decode_frame(data: bytes) -> Result[Frame, Failure]:
-    """Decode a frame without its length.
+    """Decode a frame without its length prefix.
 
     Errors
     ------
     FRAME_MALFORMED
-        The bytes are no frame.
+        The bytes are not a valid frame.
     FRAME_TYPE_UNKNOWN
-        The frame kind or body number is not known to this release.
+        This release does not know the frame kind or the body number.
     """
     protocol = TCompactProtocolAccelerated(TMemoryBuffer(data), fallback=False)
     header = Header()
     try:
         header.read(protocol)
         kind = header.kind
-        number = header.body_type
+        body_number = header.body_type
         if not isinstance(kind, int) or not isinstance(header.call_id, int):
             return Err(Failure(code=Code.FRAME_MALFORMED, detail="the header lacks a field"))
         if not 1 <= kind <= LAST_KIND:
             return Err(Failure(code=Code.FRAME_TYPE_UNKNOWN, detail=f"frame kind {kind}"))
         body = None
-        if number:
-            body_type = BODY_TYPES.get(number)
+        if body_number:
+            body_type = BODY_TYPES.get(body_number)
             if body_type is None:
-                return Err(Failure(code=Code.FRAME_TYPE_UNKNOWN, detail=f"body type {number}"))
+                return Err(Failure(code=Code.FRAME_TYPE_UNKNOWN, detail=f"body type {body_number}"))
             body = body_type()
             body.read(protocol)
-    except Exception as error:  # the C decoder raises many types on damaged input
+    except Exception as error:  # the C decoder raises many types on malformed input
         return Err(Failure(code=Code.FRAME_MALFORMED, detail=type(error).__name__))
     return Ok(
         Frame(
@@ -120,4 +120,4 @@
     )
 
 
-__all__ = ["LENGTH", "MAXIMUM_FRAME_BYTES", "Frame", "decode_frame", "encode_frame"]
+__all__ = ["LENGTH", "MAX_FRAME_BYTES", "Frame", "decode_frame", "encode_frame"]
--- a/src/leadhollow/wire/connection.py
+++ b/src/leadhollow/wire/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection between two of our processes, carrying many calls both ways."""
+"""TCP connection between two leadhollow processes, with concurrent calls in both directions."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 
 
 class Connection:
-    """Both directions of calls over one socket.
+    """Sends calls over one socket and serves the calls of the peer.
 
     Parameters
     ----------
     reader, writer
-        The socket's streams.
+        Streams of the socket.
     handlers
-        Answers to the peer's requests.
+        Handlers for requests of the peer.
     hello
-        Who the peer is; None until its greeting was accepted.
+        Identity of the peer; None until its handshake was accepted.
     """
 
     __slots__ = (
         "_calls",
+        "_handler_tasks",
         "_handlers",
         "_next_call_id",
         "_partial_frame_s",
         "_reader",
-        "_handler_tasks",
         "_streams",
         "_writer",
         "closed",
@@ -67,43 +67,41 @@
         self._streams: dict[int, CallStream] = {}
         self._handler_tasks: dict[int, asyncio.Task[None]] = {}
         self._next_call_id = 1
-        self._partial_frame_s: float | None = (
-            None  # when the last bytes of an unfinished frame came
-        )
+        self._partial_frame_s: float | None = None  # time of the last bytes of a partial frame
         self.hello = hello
         self.closed = asyncio.Event()
         enable_dead_peer_detection(writer)
         self.peer_name = str(writer.get_extra_info("peername"))
 
     def write(self, frame: Frame) -> None:
-        """Queue one frame; frames written in one loop turn leave together."""
+        """Write a frame without waiting; frames of one loop iteration are sent together."""
         if self.closed.is_set():
             return
         encoded = encode_frame(frame)
         try:
             self._writer.write(encoded)
-        except RuntimeError as error:  # lost in this turn of the loop; its reader knows in the next
-            log.info("connection ended", peer=self.peer_name, failure=str(error))
+        except RuntimeError as error:  # lost in this loop iteration; the reader sees it in the next
+            log.info("connection closed", peer=self.peer_name, failure=str(error))
             self.close()
             return
         self._handlers.traffic.record_sent(type(frame.body), len(encoded))
 
     @property
     def backlog_bytes(self) -> int:
-        """Bytes that were written and that the socket has not taken yet."""
+        """Bytes in the write buffer, not yet passed to the socket."""
         return 0 if self.closed.is_set() else self._writer.transport.get_write_buffer_size()
 
     def partial_frame_age_s(self) -> float | None:
-        """Give the heard time since the last bytes of an unfinished frame; None without one.
+        """Return the active time since the last bytes of a partial frame, or None without one.
 
-        While that is short a large frame is on its way, and the peer is not silent.
+        While it is short, the peer is still sending a large frame and is not silent.
         """
         if self._partial_frame_s is None or self.closed.is_set():
             return None
-        return active_s() - self._partial_frame_s
+        return heard_s() - self._partial_frame_s
 
     async def drain(self) -> None:
-        """Wait until the socket takes more."""
+        """Wait until the write buffer has room."""
         if self.closed.is_set():
             return
         try:
@@ -112,24 +110,24 @@
             self.close()
 
     async def call(self, body: Body, *, timeout_ms: float) -> Result[Body, Failure]:
-        """Send a request and wait for its one answer.
+        """Send a request and wait for its response.
 
         Errors
         ------
         PEER_LOST
             The connection ended first.
         PEER_TIMEOUT
-            No answer in the time in which it could be heard; a late one is dropped.
+            There was no response in time. Only active time counts. A late response is dropped.
         """
         if self.closed.is_set():
             return Err(Failure(code=Code.PEER_LOST))
         call_id = self._allocate_call_id()
-        answer: asyncio.Future[Frame] = asyncio.get_running_loop().create_future()
-        self._calls[call_id] = answer
+        response: asyncio.Future[Frame] = asyncio.get_running_loop().create_future()
+        self._calls[call_id] = response
         self.write(Frame(kind=FrameKind.REQUEST, call_id=call_id, body=body))
         try:
             async with active_timeout(timeout_ms / 1000):
-                frame = await answer
+                frame = await response
         except TimeoutError:
             return Err(Failure(code=Code.PEER_TIMEOUT))
         finally:
@@ -139,7 +137,7 @@
         return Ok(frame.body)
 
     def stream(self, body: Body) -> CallStream:
-        """Send a request whose answer is a sequence of bodies."""
+        """Send a request whose response is a stream of bodies."""
         call_id = self._allocate_call_id()
         stream = CallStream(connection=self, call_id=call_id)
         if self.closed.is_set():
@@ -150,24 +148,24 @@
         return stream
 
     def oneway(self, body: Body) -> None:
-        """Send a body that gets no answer."""
+        """Send a one-way message, which gets no response."""
         self.write(Frame(kind=FrameKind.ONEWAY, call_id=0, body=body))
 
     def drop_stream(self, call_id: int, *, tell_peer: bool) -> None:
-        """Drop the interest in a streamed answer."""
+        """Ignore the rest of a stream, and optionally cancel it at the peer."""
         if self._streams.pop(call_id, None) is not None and tell_peer:
             self.write(Frame(kind=FrameKind.CANCEL, call_id=call_id))
 
     async def run(self) -> None:
-        """Read frames until the connection ends; the connection's one task."""
+        """Read and process frames until the connection ends; runs as the connection's task."""
         try:
             buffer = bytearray()
             while data := await self._read():
                 buffer += data
                 failure = self._process_frames(buffer)
-                self._partial_frame_s = active_s() if buffer else None
+                self._partial_frame_s = heard_s() if buffer else None
                 if failure is not None:
-                    log.warning("connection ended", peer=self.peer_name, failure=str(failure))
+                    log.warning("connection closed", peer=self.peer_name, failure=str(failure))
                     break
         finally:
             self.close()
@@ -179,7 +177,10 @@
             return b""
 
     def _process_frames(self, buffer: bytearray) -> Failure | None:
-        """Take all whole frames off a buffer: one wake of the task serves a burst of them."""
+        """Process and remove all complete frames of a buffer.
+
+        A burst of frames then costs a single wake-up of the task.
+        """
         start = 0
         while len(buffer) - start >= LENGTH.size:
             (size,) = LENGTH.unpack_from(buffer, start)
@@ -198,12 +199,14 @@
             failure = decoded.unwrap_err()
             if failure.code is not Code.FRAME_TYPE_UNKNOWN:
                 return failure
-            log.warning("frame skipped", peer=self.peer_name, failure=str(failure))
+            log.warning(
+                "skipped a frame of unknown type", peer=self.peer_name, failure=str(failure)
+            )
         del buffer[:start]
         return None
 
     async def read_frame(self) -> Result[Frame | None, Failure]:
-        """Read the one frame of a greeting; None at the end of the connection."""
+        """Read the single frame of a handshake; None if the connection ended."""
         try:
             (size,) = LENGTH.unpack(await self._reader.readexactly(LENGTH.size))
             if size > MAX_FRAME_BYTES:
@@ -217,14 +220,14 @@
         return decoded
 
     def close(self) -> None:
-        """End the connection, its waiting calls and the peer's running ones."""
+        """Close the connection, fail its pending calls and cancel the handlers of the peer's."""
         if self.closed.is_set():
             return
         self.closed.set()
         self._writer.close()
-        for call_id, answer in self._calls.items():
-            if not answer.done():
-                answer.set_result(_peer_lost_frame(call_id))
+        for call_id, response in self._calls.items():
+            if not response.done():
+                response.set_result(_peer_lost_frame(call_id))
         for call_id, stream in self._streams.items():
             stream.put(_peer_lost_frame(call_id))
         self._streams.clear()
@@ -251,9 +254,9 @@
                 del self._streams[frame.call_id]
             stream.put(frame)
         else:
-            answer = self._calls.get(frame.call_id)
-            if answer is not None and not answer.done():
-                answer.set_result(frame)
+            response = self._calls.get(frame.call_id)
+            if response is not None and not response.done():
+                response.set_result(frame)
 
     def _serve(self, frame: Frame) -> None:
         call_handler = self._handlers.call_handler(frame.body)
@@ -264,14 +267,18 @@
             self._start_handler(frame.call_id, self._serve_stream(stream_handler, frame))
         else:
             name = type(frame.body).__name__
-            log.warning("no handler", peer=self.peer_name, body=name)
+            log.warning("no handler for request", peer=self.peer_name, body=name)
             failure = Failure(code=Code.FRAME_TYPE_UNKNOWN, detail=f"no handler for {name}")
             self._write_failure(frame.call_id, failure)
 
     def _serve_oneway(self, frame: Frame) -> None:
         handler = self._handlers.oneway_handler(frame.body)
         if handler is None:
-            log.warning("no handler", peer=self.peer_name, body=type(frame.body).__name__)
+            log.warning(
+                "no handler for one-way message",
+                peer=self.peer_name,
+                body=type(frame.body).__name__,
+            )
             return
         try:
             handler(frame.body, self)
@@ -285,26 +292,26 @@
 
     async def _serve_call(self, handler: CallHandler, frame: Frame) -> None:
         try:
-            answer = await handler(frame.body, self)
+            response = await handler(frame.body, self)
         except Exception:
             log.exception("handler failed", body=type(frame.body).__name__)
-            answer = Err(Failure(code=Code.INTERNAL))
-        if answer.is_err():
-            self._write_failure(frame.call_id, answer.unwrap_err())
+            response = Err(Failure(code=Code.INTERNAL))
+        if response.is_err():
+            self._write_failure(frame.call_id, response.unwrap_err())
             return
-        self.write(Frame(kind=FrameKind.RESPONSE, call_id=frame.call_id, body=answer.unwrap()))
+        self.write(Frame(kind=FrameKind.RESPONSE, call_id=frame.call_id, body=response.unwrap()))
 
     async def _serve_stream(self, handler: StreamHandler, frame: Frame) -> None:
         sink = StreamSink(connection=self, call_id=frame.call_id)
         try:
-            ended = await handler(frame.body, sink)
+            result = await handler(frame.body, sink)
         except Exception:
             log.exception("handler failed", body=type(frame.body).__name__)
-            ended = Err(Failure(code=Code.INTERNAL))
-        if ended.is_err():
-            self._write_failure(frame.call_id, ended.unwrap_err())
+            result = Err(Failure(code=Code.INTERNAL))
+        if result.is_err():
+            self._write_failure(frame.call_id, result.unwrap_err())
             return
-        self.write(Frame(kind=FrameKind.END, call_id=frame.call_id, body=ended.unwrap()))
+        self.write(Frame(kind=FrameKind.END, call_id=frame.call_id, body=result.unwrap()))
 
     def _write_failure(self, call_id: int, failure: Failure) -> None:
         self.write(
--- a/src/leadhollow/wire/handlers.py
+++ b/src/leadhollow/wire/handlers.py
@@ -1,4 +1,4 @@
-"""Which function answers which body type."""
+"""Table of handlers for incoming messages, by body type."""
 
 from __future__ import annotations
 
@@ -21,7 +21,13 @@
 
 
 class HandlerTable:
-    """Handlers of one process, by body type."""
+    """Handlers of a process, by body type.
+
+    Attributes
+    ----------
+    traffic
+        Byte counters of the connections that use these handlers.
+    """
 
     __slots__ = ("_calls", "_oneways", "_streams", "traffic")
 
@@ -32,30 +38,30 @@
         self._streams: dict[type[Any], StreamHandler] = {}
 
     def on_call(self, body_type: type[Any], handler: CallHandler) -> None:
-        """Answer each request of this type with one body."""
+        """Register a handler that responds to requests of this type with one body."""
         self._calls[body_type] = handler
 
     def on_stream(self, body_type: type[Any], handler: StreamHandler) -> None:
-        """Answer each request of this type with a sequence of bodies.
+        """Register a handler that responds to requests of this type with a stream of bodies.
 
-        The handler sends all but the last to its sink; the last, or None, is its result.
+        The handler writes the bodies to its sink. Its result is the last body, or None.
         """
         self._streams[body_type] = handler
 
     def on_oneway(self, body_type: type[Any], handler: OnewayHandler) -> None:
-        """Take each body of this type that gets no answer; the handler may not wait."""
+        """Register a handler of one-way messages of this type; it must not block."""
         self._oneways[body_type] = handler
 
     def oneway_handler(self, body: Body) -> OnewayHandler | None:
-        """Find the handler of a body that gets no answer."""
+        """Return the handler of a one-way message, or None."""
         return self._oneways.get(type(body))
 
     def call_handler(self, body: Body) -> CallHandler | None:
-        """Find the single-answer handler of a body."""
+        """Return the handler that responds to a request with one body, or None."""
         return self._calls.get(type(body))
 
     def stream_handler(self, body: Body) -> StreamHandler | None:
-        """Find the streaming handler of a body."""
+        """Return the handler that responds to a request with a stream, or None."""
         return self._streams.get(type(body))
 
 
--- a/src/leadhollow/wire/messages.py
+++ b/src/leadhollow/wire/messages.py
@@ -1,4 +1,4 @@
-"""Body types that a frame can carry, and their numbers on the wire."""
+"""Frame kinds, and the body types of frames with their numbers on the wire."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame means within its call."""
+    """Role of a frame within its call."""
 
     REQUEST = 1
     RESPONSE = 2
@@ -86,7 +86,7 @@
     94: ttypes.SliceRequest,
     95: ttypes.SliceReply,
 }
-"""Numbers are never reused; a new body takes a new one."""
+"""Body types by number. Numbers are never reused; a new body type gets a new number."""
 
 BODY_NUMBERS: dict[type[Any], int] = {body: number for number, body in BODY_TYPES.items()}
 
--- a/src/leadhollow/wire/peers.py
+++ b/src/leadhollow/wire/peers.py
@@ -1,4 +1,4 @@
-"""Outgoing connections to other processes, one for each address."""
+"""Pool of outgoing connections to other processes, one per address."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
 
 
 class PeerPool:
-    """Dials peers on demand and keeps one connection for each.
+    """Dials peers on demand and keeps one connection to each.
 
     Parameters
     ----------
     vm, failure_domain, token
-        What this process says of itself when it connects.
+        Identity of this process, sent in the handshake.
     handlers
-        Answers to calls that a peer makes back over our connection.
+        Handlers for calls that peers make over these connections.
     """
 
     __slots__ = (
         "_closed",
         "_connections",
-        "_no_dial_until_s",
+        "_dial_locks",
         "_handlers",
         "_hello",
-        "_dial_locks",
+        "_no_dial_until_s",
         "_tasks",
         "_unreachable",
         "cut_addresses",
@@ -55,18 +55,18 @@
         self._dial_locks: dict[str, asyncio.Lock] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
-        self._unreachable: set[str] = set()  # of which this was logged
-        self.cut_addresses: set[str] = set()  # fault switch of tests: these cannot be dialled
+        self._unreachable: set[str] = set()  # logged once until they are reached again
+        self.cut_addresses: set[str] = set()  # for fault tests: these cannot be dialled
 
     async def connection(self, address: str) -> Result[Connection, Failure]:
-        """Give the open connection to an address, dialling if there is none.
+        """Return the open connection to an address, dialling if there is none.
 
         Errors
         ------
         PEER_LOST
-            The peer cannot be reached, or failed a moment ago.
+            The peer cannot be reached, or dialling it failed a moment ago.
         PEER_REFUSED
-            The peer did not accept our greeting.
+            The peer rejected the handshake.
         """
         existing = self._connections.get(address)
         if existing is not None and not existing.closed.is_set():
@@ -96,16 +96,16 @@
             log.info("peer not reached", address=address, failure=str(failure))
 
     async def call(self, address: str, body: Body, *, timeout_ms: float) -> Result[Body, Failure]:
-        """Send one request to an address and wait for its answer."""
+        """Send a request to an address and wait for its response."""
         connected = await self.connection(address)
         if connected.is_err():
             return Err(connected.unwrap_err())
         return await connected.unwrap().call(body, timeout_ms=timeout_ms)
 
     def post(self, address: str, body: Body) -> None:
-        """Send one body that gets no answer, without waiting for a peer that must be dialled.
+        """Send a one-way message; if the peer must be dialled, this happens in the background.
 
-        It is dropped where the peer cannot be reached.
+        The message is dropped if the peer cannot be reached.
         """
         existing = self._connections.get(address)
         if existing is not None and not existing.closed.is_set():
@@ -130,7 +130,10 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def cut(self, addresses: set[str]) -> None:
-        """Refuse to reach these addresses from now on; an empty set heals. For fault tests."""
+        """Refuse connections to these addresses until the next call; for fault tests.
+
+        An empty set allows all addresses again.
+        """
         self.cut_addresses = set(addresses)
         for address in addresses:
             connection = self._connections.pop(address, None)
@@ -151,23 +154,25 @@
                 )
                 connection = Connection(reader=reader, writer=writer, handlers=self._handlers)
                 connection.write(Frame(kind=FrameKind.REQUEST, call_id=0, body=self._hello))
-                answer = await connection.read_frame()
+                response = await connection.read_frame()
         except (OSError, TimeoutError) as error:
             return Err(Failure(code=Code.PEER_LOST, detail=f"{address}: {error or 'timeout'}"))
-        accepted = _check_handshake(address, answer)
-        if accepted.is_err():
+        checked = _check_handshake(address, response)
+        if checked.is_err():
             connection.close()
-            return Err(accepted.unwrap_err())
+            return Err(checked.unwrap_err())
         task = asyncio.get_running_loop().create_task(connection.run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return Ok(connection)
 
 
-def _check_handshake(address: str, answer: Result[Frame | None, Failure]) -> Result[None, Failure]:
-    if answer.is_err():
-        return Err(answer.unwrap_err())
-    frame = answer.unwrap()
+def _check_handshake(
+    address: str, response: Result[Frame | None, Failure]
+) -> Result[None, Failure]:
+    if response.is_err():
+        return Err(response.unwrap_err())
+    frame = response.unwrap()
     if frame is None:
         return Err(Failure(code=Code.PEER_LOST, detail=f"{address} closed at the greeting"))
     if frame.kind is FrameKind.ERROR:
--- a/src/leadhollow/wire/server.py
+++ b/src/leadhollow/wire/server.py
@@ -1,4 +1,4 @@
-"""Listener for the other processes of the system."""
+"""Server for connections from other leadhollow processes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class WireServer:
-    """Accepts peers, checks their greeting and serves their calls."""
+    """Accepts connections, checks the handshake and serves calls."""
 
     __slots__ = ("_connections", "_handlers", "_server", "_stopped", "_tasks", "_token", "address")
 
@@ -39,7 +39,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> Result[None, Failure]:
-        """Open the listener; port 0 takes a free one."""
+        """Open the listener; port 0 takes a free port."""
         try:
             self._server = await asyncio.start_server(
                 self._on_accept, self.address.host, self.address.port, limit=2**20
@@ -51,7 +51,7 @@
         return Ok(None)
 
     async def stop(self) -> None:
-        """Close the listener and every connection, also one that was accepted just now."""
+        """Close the listener and all connections, including one that was just accepted."""
         self._stopped = True
         if self._server is not None:
             self._server.close()
@@ -60,7 +60,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def _on_accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Start the task of a connection; one of asyncio's own is called a fault when cancelled."""
+        """Start the task of a connection; asyncio would log the cancellation of its own task."""
         task = asyncio.get_running_loop().create_task(self._serve(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -68,19 +68,19 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("connection ended by an error", error=repr(task.exception()))
+            log.error("connection task failed", error=repr(task.exception()))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = Connection(reader=reader, writer=writer, handlers=self._handlers)
         if self._stopped:
-            connection.close()  # its task had not begun when the others were closed
+            connection.close()  # its task had not started when stop() closed the others
             return
         self._connections.add(connection)
         try:
-            greeted = await self._handshake(connection)
-            if greeted.is_err():
-                failure = greeted.unwrap_err()
-                log.warning("peer refused", peer=connection.peer_name, failure=str(failure))
+            accepted = await self._handshake(connection)
+            if accepted.is_err():
+                failure = accepted.unwrap_err()
+                log.warning("handshake rejected", peer=connection.peer_name, failure=str(failure))
                 connection.close()
                 return
             await connection.run()
--- a/src/leadhollow/wire/service.py
+++ b/src/leadhollow/wire/service.py
@@ -1,4 +1,4 @@
-"""Listener and outgoing connections of one process, as a service."""
+"""Service that owns the server and the peer pool of a process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class WireService:
-    """Opens the listener and closes all connections."""
+    """Starts the server, and closes all connections when it stops."""
 
     __slots__ = ("peers", "server")
 
@@ -23,7 +23,7 @@
         return await self.server.start()
 
     async def drain(self) -> None:
-        """Other services drain through us first."""
+        """Do nothing: other services need the connections while they drain."""
 
     async def stop(self) -> None:
         """Close all connections."""
--- a/src/leadhollow/wire/streams.py
+++ b/src/leadhollow/wire/streams.py
@@ -1,4 +1,4 @@
-"""Both ends of a streamed answer."""
+"""Client and server ends of a streamed response."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CallStream:
-    """Caller's end of a streamed answer."""
+    """Client end of a streamed response."""
 
     __slots__ = ("_call_id", "_connection", "_finished", "_queue")
 
@@ -29,7 +29,7 @@
         self._finished = False
 
     def put(self, frame: Frame) -> None:
-        """Take a frame from the reader task."""
+        """Queue a frame; called by the task that reads the connection."""
         self._queue.put_nowait(frame)
 
     async def next(self, *, timeout_ms: float | None = None) -> Result[Body | None, Failure]:
@@ -38,13 +38,14 @@
         Parameters
         ----------
         timeout_ms
-            How long the peer may send nothing at all. A large body takes longer over a narrow
-            link; given up and asked for again, it would never come.
+            How long the peer may be silent. Bytes of a partial frame extend the wait: a large
+            body may take longer over a slow link, and if it was abandoned and requested again, it
+            would never arrive.
 
         Returns
         -------
         Result
-            The body, None after the last one, or why the stream broke.
+            The body, None after the last one, or why the stream failed.
         """
         if self._finished:
             return Ok(None)
@@ -58,28 +59,28 @@
             return Err(failure_from_number(frame.code, frame.detail))
         return Ok(frame.body)
 
-    async def _next_frame(self, silence_s: float | None) -> Frame | None:
-        """Wait for a frame for as long as bytes come; None where none came for a time."""
-        wait_s = silence_s
+    async def _next_frame(self, timeout_s: float | None) -> Frame | None:
+        """Wait for a frame while bytes arrive; return None after a period without bytes."""
+        wait_s = timeout_s
         while True:
             try:
                 async with active_timeout(wait_s):
                     return await self._queue.get()
             except TimeoutError:
-                part_age_s = self._connection.partial_frame_age_s()
-                if silence_s is None or part_age_s is None or part_age_s >= silence_s:
+                partial_age_s = self._connection.partial_frame_age_s()
+                if timeout_s is None or partial_age_s is None or partial_age_s >= timeout_s:
                     return None
-                wait_s = silence_s - part_age_s
+                wait_s = timeout_s - partial_age_s
 
     def cancel(self) -> None:
-        """Tell the peer that nobody waits for this stream any more."""
+        """Cancel the stream at the peer."""
         if not self._finished:
             self._finished = True
             self._connection.drop_stream(self._call_id, tell_peer=True)
 
 
 class StreamSink:
-    """Server's end of a streamed answer."""
+    """Server end of a streamed response."""
 
     __slots__ = ("_call_id", "connection")
 
@@ -88,11 +89,11 @@
         self._call_id = call_id
 
     def write(self, body: Body) -> None:
-        """Send one item without waiting for a peer that reads slowly."""
+        """Send one item without waiting for room in the write buffer."""
         self.connection.write(Frame(kind=FrameKind.ITEM, call_id=self._call_id, body=body))
 
     async def send(self, body: Body) -> None:
-        """Send one item; waits while the peer reads slowly."""
+        """Send one item; waits while the write buffer is full."""
         self.write(body)
         await self.connection.drain()
 
--- a/src/leadhollow/wire/traffic.py
+++ b/src/leadhollow/wire/traffic.py
@@ -1,4 +1,4 @@
-"""Counts bytes between our own processes, control apart from requests and weights."""
+"""Byte counters of connections between processes, control apart from requests and weights."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 class WireTraffic:
-    """Totals of one process."""
+    """Bytes that one process sent and received.
+
+    Data frames carry requests and weights; all others are control frames.
+    """
 
     __slots__ = (
         "control_received_bytes",
--- a/tests/http1/test_client_connection.py
+++ b/tests/http1/test_client_connection.py
@@ -1,4 +1,4 @@
-"""What comes back from a backend server: whole, cut, late, or not HTTP at all."""
+"""Tests of the client connection with complete, truncated and malformed responses."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-async def ask(connection: ClientConnection, method: bytes = b"GET"):
-    """Send a request; give the answer's status and its body, or the failure of either."""
+async def send_request(connection: ClientConnection, method: bytes = b"GET"):
+    """Send a request; return the status and the body, or the failure to read either."""
     connection.begin_request(REQUEST, method=method)
-    answered = await connection.read_response()
-    if answered.is_err():
-        return None, answered.unwrap_err()
-    answer = answered.unwrap()
+    received = await connection.read_response()
+    if received.is_err():
+        return None, received.unwrap_err()
+    response = received.unwrap()
     body = b""
     while True:
-        read = await answer.body.read()
+        read = await response.body.read()
         if read.is_err():
-            return answer.head.status, read.unwrap_err()
+            return response.head.status, read.unwrap_err()
         if not read.unwrap():
-            return answer.head.status, body
+            return response.head.status, body
         body += read.unwrap()
 
 
-def scripted(*parts: bytes, end: str = "close"):
-    """Make a server that answers one request with these bytes, then ends as told."""
+def scripted_server(*parts: bytes, end: str = "close"):
+    """Return a server that sends these bytes as its response, then ends the connection."""
 
     async def script(caller: RawCaller) -> None:
         await caller.read_until(b"\r\n\r\n")
@@ -50,11 +50,11 @@
     return RawServer(script)
 
 
-async def opened(server: RawServer) -> ClientConnection:
+async def connect(server: RawServer) -> ClientConnection:
     return (await open_connection(server.address, timeout_s=5)).unwrap()
 
 
-class TestWholeAnswers:
+class TestCompleteResponses:
     @pytest.mark.parametrize(
         "parts",
         [
@@ -65,15 +65,17 @@
         ],
     )
     async def test_are_read(self, parts):
-        async with scripted(*parts) as server:
-            assert await ask(await opened(server)) == (200, b"hello")
+        async with scripted_server(*parts) as server:
+            assert await send_request(await connect(server)) == (200, b"hello")
 
-    async def test_of_a_head_request_have_no_body(self):
-        async with scripted(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", end="wait") as server:
-            assert await ask(await opened(server), method=b"HEAD") == (200, b"")
+    async def test_to_head_request_have_no_body(self):
+        async with scripted_server(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", end="wait"
+        ) as server:
+            assert await send_request(await connect(server), method=b"HEAD") == (200, b"")
 
 
-class TestCutAnswers:
+class TestIncompleteResponses:
     @pytest.mark.parametrize(
         "head",
         [
@@ -82,21 +84,21 @@
         ],
     )
     @pytest.mark.parametrize("end", ["close", "reset"])
-    async def test_with_a_declared_end_are_told(self, head, end):
-        async with scripted(head + b"hello", end=end) as server:
-            status, failure = await ask(await opened(server))
+    async def test_with_declared_length_are_failures(self, head, end):
+        async with scripted_server(head + b"hello", end=end) as server:
+            status, failure = await send_request(await connect(server))
             assert status == 200
             assert failure.code is Code.BACKEND_LOST
 
-    async def test_without_a_length_are_told_by_the_reset(self):
-        """An answer that ends with its connection is whole only where that was closed in order."""
-        async with scripted(b"HTTP/1.1 200 OK\r\n\r\nhello", end="reset") as server:
-            status, failure = await ask(await opened(server))
+    async def test_without_length_are_failures_after_reset(self):
+        """A response delimited by the connection is complete only after an orderly close."""
+        async with scripted_server(b"HTTP/1.1 200 OK\r\n\r\nhello", end="reset") as server:
+            status, failure = await send_request(await connect(server))
             assert status == 200
             assert failure.code is Code.BACKEND_LOST
 
-    async def test_without_a_length_are_told_by_the_error_left_on_the_socket(self):
-        """Some kernels tell a reset as an end of the stream, with the error on the socket."""
+    async def test_without_length_are_failures_if_socket_has_error(self):
+        """Some kernels report a reset as an end of stream, with the error left on the socket."""
 
         class BrokenSocket:
             def setsockopt(self, *_: object) -> None:
@@ -118,61 +120,61 @@
         connection.begin_request(REQUEST, method=b"GET")
         connection.data_received(b"HTTP/1.1 200 OK\r\n\r\nhello")
         connection.eof_received()
-        answer = (await connection.read_response()).unwrap()
-        assert (await answer.body.read()).unwrap() == b"hello"
-        assert (await answer.body.read()).unwrap_err().code is Code.BACKEND_LOST
+        response = (await connection.read_response()).unwrap()
+        assert (await response.body.read()).unwrap() == b"hello"
+        assert (await response.body.read()).unwrap_err().code is Code.BACKEND_LOST
 
-    async def test_before_any_byte_are_told(self):
-        async with scripted(end="reset") as server:
-            _, failure = await ask(await opened(server))
+    async def test_without_any_byte_are_failures(self):
+        async with scripted_server(end="reset") as server:
+            _, failure = await send_request(await connect(server))
             assert failure.code is Code.BACKEND_LOST
 
-    async def test_that_are_no_http_are_told(self):
-        async with scripted(b"\x00\x01\x02 nothing that anybody knows\r\n\r\n") as server:
-            _, failure = await ask(await opened(server))
+    async def test_that_are_not_http_are_failures(self):
+        async with scripted_server(b"\x00\x01\x02 nothing that anybody knows\r\n\r\n") as server:
+            _, failure = await send_request(await connect(server))
             assert failure.code is Code.ENGINE_FAILED
 
 
-class TestBytesOfNobody:
-    async def test_after_the_answer_end_the_connection(self):
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-        async with scripted(whole, whole, end="wait") as server:
-            connection = await opened(server)
-            assert await ask(connection) == (200, b"")
+class TestUnexpectedBytes:
+    async def test_after_response_close_connection(self):
+        empty_response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+        async with scripted_server(empty_response, empty_response, end="wait") as server:
+            connection = await connect(server)
+            assert await send_request(connection) == (200, b"")
             connection.end_exchange()
             await eventually(lambda: not connection.usable, "the connection to be given up")
 
-    async def test_that_came_with_the_answer_end_the_connection(self):
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-        async with scripted(whole + whole, end="wait") as server:
-            connection = await opened(server)
-            assert await ask(connection) == (200, b"")
+    async def test_together_with_response_close_connection(self):
+        empty_response = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+        async with scripted_server(empty_response + empty_response, end="wait") as server:
+            connection = await connect(server)
+            assert await send_request(connection) == (200, b"")
             connection.end_exchange()
             assert not connection.usable
 
 
 class TestReuse:
-    async def test_is_refused_after_connection_close(self):
-        answer = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-        async with scripted(answer, end="wait") as server:
-            connection = await opened(server)
-            await ask(connection)
+    async def test_is_not_possible_after_connection_close(self):
+        response = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+        async with scripted_server(response, end="wait") as server:
+            connection = await connect(server)
+            await send_request(connection)
             connection.end_exchange()
             assert not connection.usable
 
-    async def test_knows_how_long_the_server_waits(self):
-        answer = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=7\r\nContent-Length: 0\r\n\r\n"
-        async with scripted(answer, end="wait") as server:
-            connection = await opened(server)
-            await ask(connection)
+    async def test_reads_keep_alive_timeout_of_server(self):
+        response = b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=7\r\nContent-Length: 0\r\n\r\n"
+        async with scripted_server(response, end="wait") as server:
+            connection = await connect(server)
+            await send_request(connection)
             connection.end_exchange()
             assert connection.usable
             assert connection.keep_alive_s == 7.0
 
 
 class TestClosing:
-    async def test_with_a_request_outstanding_resets(self):
-        """Bytes that are on their way must be dropped, not worked on later."""
+    async def test_with_outstanding_request_sends_reset(self):
+        """The server must drop request bytes in transit instead of processing them later."""
         ended: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
         async def script(caller: RawCaller) -> None:
@@ -184,7 +186,7 @@
                 ended.set_result("reset")
 
         async with RawServer(script) as server:
-            connection = await opened(server)
+            connection = await connect(server)
             connection.begin_request(REQUEST, method=b"GET")
             await asyncio.sleep(0.05)
             connection.close()
@@ -192,7 +194,7 @@
 
 
 class TestConnecting:
-    async def test_to_nobody_is_a_result(self):
+    async def test_to_closed_port_returns_peer_absent(self):
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             address = Address(host="127.0.0.1", port=taken.getsockname()[1])
--- a/tests/http1/test_fetch.py
+++ b/tests/http1/test_fetch.py
@@ -1,4 +1,4 @@
-"""Peers that ask for patience get nothing until their time is over."""
+"""Tests of the HTTP fetcher: back-offs of peers, and bodies that are read whole."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class Peer:
-    """Answers every request alike, and counts them."""
+    """Sends the same response to every request, and counts the requests."""
 
-    def __init__(self, answer: bytes) -> None:
-        self.answer = answer
+    def __init__(self, response: bytes) -> None:
+        self.response = response
         self.requests = 0
-        self.caller = HttpFetcher()
+        self.fetcher = HttpFetcher()
 
     async def __aenter__(self) -> Peer:
         self._listener = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -28,43 +28,43 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.caller.close()
+        self.fetcher.close()
         self._listener.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while await reader.readuntil(b"\r\n\r\n"):
                 self.requests += 1
-                writer.write(self.answer)
+                writer.write(self.response)
         except (OSError, asyncio.IncompleteReadError):
             writer.close()
 
-    async def ask(self):
-        return await self.caller.fetch("GET", self.address, "/", timeout_s=1.0)
+    async def fetch_root(self):
+        return await self.fetcher.fetch("GET", self.address, "/", timeout_s=1.0)
 
 
-def answer(status: str, *fields: str) -> bytes:
+def response(status: str, *fields: str) -> bytes:
     return "\r\n".join([f"HTTP/1.1 {status}", *fields, "Content-Length: 0", "", ""]).encode()
 
 
-class TestPeerThatAsksForRest:
-    # Guards against: an origin or engine that asked for patience is only asked again.
+class TestPeerBackoff:
+    # Guards against: an origin or engine gets requests during a back-off that it asked for.
     @pytest.mark.parametrize("status", ["503 Away", "429 Busy"])
-    async def test_gets_nothing_until_it_is_over(self, status):
-        async with Peer(answer(status, "Retry-After: 0.3")) as peer:
-            assert (await peer.ask()).unwrap().status == int(status[:3])
+    async def test_blocks_requests_until_it_ends(self, status):
+        async with Peer(response(status, "Retry-After: 0.3")) as peer:
+            assert (await peer.fetch_root()).unwrap().status == int(status[:3])
             for _ in range(3):
-                assert (await peer.ask()).unwrap_err().code is Code.SERVER_RESTS
+                assert (await peer.fetch_root()).unwrap_err().code is Code.SERVER_RESTS
             assert peer.requests == 1
             await asyncio.sleep(0.35)
-            assert (await peer.ask()).is_ok()
+            assert (await peer.fetch_root()).is_ok()
             assert peer.requests == 2
 
-    async def test_is_asked_at_once_where_another_process_has_its_address(self):
-        async with Peer(answer("503 Away", "Retry-After: 600")) as peer:
-            await peer.ask()
-            peer.caller.clear_backoff(peer.address)
-            assert (await peer.ask()).is_ok()
+    async def test_is_cleared_when_another_process_has_the_address(self):
+        async with Peer(response("503 Away", "Retry-After: 600")) as peer:
+            await peer.fetch_root()
+            peer.fetcher.clear_backoff(peer.address)
+            assert (await peer.fetch_root()).is_ok()
 
     @pytest.mark.parametrize(
         ("status", "value"),
@@ -76,10 +76,10 @@
             ("503 Away", "-1"),
         ],
     )
-    async def test_is_none_by_another_status_or_value(self, status, value):
-        async with Peer(answer(status, f"Retry-After: {value}")) as peer:
-            await peer.ask()
-            assert (await peer.ask()).is_ok()
+    async def test_is_not_started_by_other_status_or_value(self, status, value):
+        async with Peer(response(status, f"Retry-After: {value}")) as peer:
+            await peer.fetch_root()
+            assert (await peer.fetch_root()).is_ok()
             assert peer.requests == 2
 
 
@@ -91,15 +91,15 @@
         body.finish()
         return body
 
-    async def test_is_all_that_came(self):
+    async def test_joins_all_pieces(self):
         body = await self.feed(b"ab", b"c")
         assert (await body.read_all(3)).unwrap() == b"abc"
 
-    async def test_that_is_larger_than_allowed_is_refused(self):
+    async def test_above_limit_is_refused(self):
         body = await self.feed(b"ab", b"c")
         assert (await body.read_all(2)).unwrap_err().code is Code.BODY_TOO_LARGE
 
-    async def test_that_ends_too_early_is_no_body(self):
+    async def test_that_fails_early_is_a_failure(self):
         body = IncomingBody(pause=lambda: None, resume=lambda: None)
         body.feed(b"ab")
         body.fail(Failure(code=Code.PEER_LOST))
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""What callers send, and what they get back."""
+"""Tests of the HTTP server: requests, responses, and the shutdown."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Recorder:
-    """Answers each request with its own method, target and body."""
+    """Records each request and echoes its target and body."""
 
     def __init__(self) -> None:
         self.requests: list[tuple[bytes, bytes, bytes]] = []
@@ -50,7 +50,7 @@
 
 
 class TestRequests:
-    async def test_with_a_length_are_read(self, server, recorder):
+    async def test_with_content_length_are_read(self, server, recorder):
         caller = await RawCaller.connect(server.address)
         await caller.send(b"POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc")
         head, body = await caller.read_answer()
@@ -58,20 +58,20 @@
         assert body == b"abc"
         assert recorder.requests == [(b"POST", b"/a?b=c", b"abc")]
 
-    async def test_in_chunks_are_read(self, server, recorder):
+    async def test_with_chunked_body_are_read(self, server, recorder):
         caller = await RawCaller.connect(server.address)
         await caller.send(b"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n")
         await caller.send(b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
         assert (await caller.read_answer())[1] == b"abc"
 
-    async def test_one_after_the_other_share_a_connection(self, server, recorder):
+    async def test_in_sequence_share_a_connection(self, server, recorder):
         caller = await RawCaller.connect(server.address)
         for number in range(3):
             await caller.send(b"GET /%d HTTP/1.1\r\nHost: x\r\n\r\n" % number)
             await caller.read_answer()
         assert [target for _, target, _ in recorder.requests] == [b"/0", b"/1", b"/2"]
 
-    async def test_that_come_together_are_answered_in_order(self, server, recorder):
+    async def test_that_are_pipelined_are_answered_in_order(self, server, recorder):
         caller = await RawCaller.connect(server.address)
         await caller.send(b"GET /0 HTTP/1.1\r\nHost: x\r\n\r\nGET /1 HTTP/1.1\r\nHost: x\r\n\r\n")
         first, _ = await caller.read_answer()
@@ -79,7 +79,7 @@
         assert b"X-Seen: /0" in first
         assert b"X-Seen: /1" in second
 
-    async def test_that_expect_a_go_ahead_get_it(self, server, recorder):
+    async def test_that_expect_100_continue_get_it(self, server, recorder):
         caller = await RawCaller.connect(server.address)
         await caller.send(
             b"POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
@@ -105,18 +105,18 @@
             (b"GET / HTTP/1.1\r\nX-Slow: ", 408),
         ],
     )
-    async def test_are_refused_and_the_connection_ends(self, server, recorder, sent, status):
+    async def test_are_refused_and_connection_is_closed(self, server, recorder, sent, status):
         caller = await RawCaller.connect(server.address)
         await caller.send(sent)
-        answer = await caller.read_to_end()
-        assert answer.startswith(b"HTTP/1.1 %d " % status)
-        assert answer.count(b"HTTP/1.1") == 1
+        response = await caller.read_to_end()
+        assert response.startswith(b"HTTP/1.1 %d " % status)
+        assert response.count(b"HTTP/1.1") == 1
         assert [target for _, target, _ in recorder.requests if target == b"/smuggled"] == []
 
 
-class TestLeavingCallers:
+class TestCallerDisconnects:
     @pytest.mark.parametrize("leave", ["close", "reset"])
-    async def test_cancel_their_request(self, leave):
+    async def test_cancel_the_request(self, leave):
         started = asyncio.Event()
         cancelled = asyncio.Event()
 
@@ -139,8 +139,8 @@
         await server.stop()
 
 
-async def serve_answer(write):
-    """Serve one request with a function that writes the answer; give all bytes of the caller."""
+async def respond_with(write):
+    """Handle one request with a function that writes the response; return all bytes received."""
 
     async def handle(request: IncomingRequest, reply: ReplyWriter) -> None:
         await write(reply)
@@ -155,7 +155,7 @@
         await server.stop()
 
 
-class TestAnswers:
+class TestResponses:
     async def test_of_unknown_length_are_chunked(self):
         async def write(reply: ReplyWriter) -> None:
             reply.start(200, Headers())
@@ -163,28 +163,28 @@
             await reply.write(b"c")
             reply.finish()
 
-        answer = await serve_answer(write)
-        assert answer.endswith(b"\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
+        response = await respond_with(write)
+        assert response.endswith(b"\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
 
-    async def test_that_break_off_cannot_look_complete(self):
+    async def test_that_are_aborted_do_not_look_complete(self):
         async def write(reply: ReplyWriter) -> None:
             reply.start(200, Headers())
             await reply.write(b"ab")
             reply.abort()
 
-        assert b"0\r\n\r\n" not in await serve_answer(write)
+        assert b"0\r\n\r\n" not in await respond_with(write)
 
-    async def test_shorter_than_declared_cannot_look_complete(self):
+    async def test_shorter_than_declared_do_not_look_complete(self):
         async def write(reply: ReplyWriter) -> None:
             reply.start(200, Headers(), content_length=5)
             await reply.write(b"ab")
             reply.finish()
 
-        answer = await serve_answer(write)
-        assert answer.endswith(b"ab")
-        assert b"Content-Length: 5" in answer
+        response = await respond_with(write)
+        assert response.endswith(b"ab")
+        assert b"Content-Length: 5" in response
 
-    async def test_to_http_1_0_end_with_the_connection(self):
+    async def test_of_unknown_length_to_http_1_0_end_with_connection(self):
         async def handle(request: IncomingRequest, reply: ReplyWriter) -> None:
             reply.start(200, Headers())
             await reply.write(b"abc")
@@ -194,20 +194,20 @@
         await server.start()
         caller = await RawCaller.connect(server.address)
         await caller.send(b"GET / HTTP/1.0\r\n\r\n")
-        answer = await caller.read_to_end()
-        assert answer.endswith(b"\r\n\r\nabc")
-        assert b"chunked" not in answer
+        response = await caller.read_to_end()
+        assert response.endswith(b"\r\n\r\nabc")
+        assert b"chunked" not in response
         await server.stop()
 
-    async def test_of_a_handler_that_fails_are_an_error(self):
+    async def test_of_failed_handler_have_status_502(self):
         async def write(reply: ReplyWriter) -> None:
             raise RuntimeError
 
-        assert (await serve_answer(write)).startswith(b"HTTP/1.1 %d" % HTTPStatus.BAD_GATEWAY)
+        assert (await respond_with(write)).startswith(b"HTTP/1.1 %d" % HTTPStatus.BAD_GATEWAY)
 
 
-class TestEnd:
-    async def test_tells_callers_that_the_connection_ends(self, server, recorder):
+class TestShutdown:
+    async def test_announces_end_of_connection_to_callers(self, server, recorder):
         caller = await RawCaller.connect(server.address)
         await caller.send(b"GET /0 HTTP/1.1\r\nHost: x\r\n\r\n")
         head, _ = await caller.read_answer()
@@ -218,7 +218,7 @@
         assert b"Connection: close" in head
         assert await caller.read_to_end() == b""
 
-    async def test_closes_idle_connections_and_takes_no_new_ones(self, server, recorder):
+    async def test_closes_idle_connections_and_accepts_no_new_ones(self, server, recorder):
         caller = await RawCaller.connect(server.address)
         await caller.send(b"GET /0 HTTP/1.1\r\nHost: x\r\n\r\n")
         await caller.read_answer()
@@ -228,8 +228,8 @@
         with pytest.raises(OSError):
             await RawCaller.connect(server.address)
 
-    # Guards against: a stop drops the rest of an answer that its caller has not read yet.
-    async def test_waits_for_a_caller_that_reads_slowly(self):
+    # Guards against: stopping the server drops the part of a response that was not read yet.
+    async def test_waits_for_caller_that_reads_slowly(self):
         sent = 0
 
         async def handle(request: IncomingRequest, reply: ReplyWriter) -> None:
--- a/tests/http1/test_stalled_server.py
+++ b/tests/http1/test_stalled_server.py
@@ -1,4 +1,4 @@
-"""A server that was held up serves what callers sent meanwhile."""
+"""Tests that the server handles what callers sent during a stall of its event loop."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 from tests.other_loop import LOOPS, run_on
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-HOLD_S = 1.2
-TIMEOUT_MS = 500  # of heads and idle connections
+STALL_S = 1.2
+TIMEOUT_MS = 500  # header timeout and idle timeout
 
 
-async def answer(request: IncomingRequest, reply: ReplyWriter) -> None:
+async def respond(request: IncomingRequest, reply: ReplyWriter) -> None:
     await reply.send(200, Headers(), b"done")
 
 
-async def started() -> HttpServer:
+async def start_server() -> HttpServer:
     limits = HttpLimits(header_timeout_ms=TIMEOUT_MS, idle_timeout_ms=TIMEOUT_MS)
     server = HttpServer(
-        address=Address(host="127.0.0.1", port=0), handler=answer, limits=lambda: limits
+        address=Address(host="127.0.0.1", port=0), handler=respond, limits=lambda: limits
     )
     assert (await server.start()).is_ok()
     active_time.clock()
     return server
 
 
-async def connected(server: HttpServer) -> socket.socket:
+async def connect(server: HttpServer) -> socket.socket:
     caller = socket.create_connection((server.address.host, server.address.port))
     caller.setblocking(False)
     await asyncio.sleep(0.15)
@@ -43,36 +43,36 @@
 
 
 async def read(caller: socket.socket) -> bytes:
-    """Read what comes next; nothing where the connection was closed."""
+    """Read the next bytes; return no bytes if the connection was closed."""
     async with asyncio.timeout(5):
         return await asyncio.get_running_loop().sock_recv(caller, 4096)
 
 
 @pytest.mark.parametrize("loop_name", LOOPS)
-class TestHeldUpServer:
-    # Guards against: a request that lay in the socket is refused with 408 for our own delay.
-    def test_takes_a_head_whose_rest_came_meanwhile(self, loop_name):
+class TestStalledServer:
+    # Guards against: a request in the socket buffer gets a 408 because the server stalled.
+    def test_accepts_head_completed_during_stall(self, loop_name):
         async def work() -> None:
-            server = await started()
-            caller = await connected(server)
+            server = await start_server()
+            caller = await connect(server)
             caller.send(REQUEST[:10])
             await asyncio.sleep(0.05)
             caller.send(REQUEST[10:])
-            time.sleep(HOLD_S)
+            time.sleep(STALL_S)
             assert (await read(caller)).startswith(b"HTTP/1.1 200")
             caller.close()
             await server.stop()
 
         run_on(loop_name, work)
 
-    # Guards against: a kept connection is closed though its next request lay in the socket.
-    def test_serves_a_kept_connection_whose_request_came_meanwhile(self, loop_name):
+    # Guards against: a keep-alive connection is closed with a request in its socket buffer.
+    def test_serves_request_received_during_stall_on_idle_connection(self, loop_name):
         async def work() -> None:
-            server = await started()
-            caller = await connected(server)
+            server = await start_server()
+            caller = await connect(server)
             for _ in range(3):
                 caller.send(REQUEST)
-                time.sleep(HOLD_S)
+                time.sleep(STALL_S)
                 assert (await read(caller)).startswith(b"HTTP/1.1 200")
                 await asyncio.sleep(0.1)
             caller.close()
@@ -80,10 +80,10 @@
 
         run_on(loop_name, work)
 
-    def test_closes_connections_that_stay_idle(self, loop_name):
+    def test_closes_idle_connection_after_timeout(self, loop_name):
         async def work() -> None:
-            server = await started()
-            caller = await connected(server)
+            server = await start_server()
+            caller = await connect(server)
             caller.send(REQUEST)
             assert (await read(caller)).startswith(b"HTTP/1.1 200")
             began_s = asyncio.get_running_loop().time()
@@ -94,10 +94,10 @@
 
         run_on(loop_name, work)
 
-    def test_refuses_a_head_that_is_slow(self, loop_name):
+    def test_refuses_slow_head_with_408(self, loop_name):
         async def work() -> None:
-            server = await started()
-            caller = await connected(server)
+            server = await start_server()
+            caller = await connect(server)
             caller.send(REQUEST[:10])
             assert (await read(caller)).startswith(b"HTTP/1.1 408")
             caller.close()
--- a/tests/observe/log_writer.py
+++ b/tests/observe/log_writer.py
@@ -1,6 +1,7 @@
-"""A process that writes log lines as it is told, and a test's hold on it.
+"""Process that writes log lines on command, and the class with which tests control it.
 
-Commands come as lines of standard input; each is answered by one JSON line on standard output.
+The process reads commands as lines of standard input, and responds to each with one JSON line on
+standard output.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 
 
 class Writer:
-    """The process, as a test sees it.
+    """Starts and controls the process.
 
     Parameters
     ----------
     stderr
-        Where its lines go, as ``subprocess`` takes it.
+        Standard error of the process, as for ``subprocess.Popen``.
     """
 
     def __init__(self, *, stderr: int) -> None:
@@ -44,26 +45,26 @@
             if stream is not None:
                 stream.close()
 
-    def tell(self, command: str) -> dict[str, float]:
-        """Have a command done; fails where no answer comes."""
-        self.begin(command)
+    def execute(self, command: str) -> dict[str, float]:
+        """Send a command and return its response; fails if there is none in time."""
+        self.send(command)
         ready, _, _ = select.select([self.process.stdout], [], [], PATIENCE_S)
         assert ready, f"the process stands still at {command!r}"
         return json.loads(self.process.stdout.readline())
 
-    def begin(self, command: str) -> None:
-        """Send a command whose answer nobody waits for."""
+    def send(self, command: str) -> None:
+        """Send a command without waiting for a response."""
         self.process.stdin.write(f"{command}\n".encode())
         self.process.stdin.flush()
 
-    def end(self, command: str = "end") -> int:
-        """Let it end; gives its exit code."""
-        self.begin(command)
+    def wait_for_exit(self, command: str = "end") -> int:
+        """Send a command that ends the process, and return the exit code."""
+        self.send(command)
         return self.process.wait(PATIENCE_S)
 
 
-class _Ticker:
-    """Notes the longest time for which the loop did not go round."""
+class _StallMonitor:
+    """Measures the longest time between two iterations of the event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -86,7 +87,7 @@
 
 
 async def _work() -> None:
-    ticker = _Ticker(asyncio.get_running_loop())
+    monitor = _StallMonitor(asyncio.get_running_loop())
     written = 0
     while words := (await asyncio.to_thread(sys.stdin.readline)).split():
         match words:
@@ -106,8 +107,8 @@
             case ["raise", text]:
                 raise RuntimeError(text)
         await asyncio.sleep(2 * TICK_S)
-        usage_s = time.process_time()
-        sys.stdout.write(json.dumps({"longest_s": ticker.longest_s, "usage_s": usage_s}) + "\n")
+        cpu_time_s = time.process_time()
+        sys.stdout.write(json.dumps({"longest_s": monitor.longest_s, "usage_s": cpu_time_s}) + "\n")
         sys.stdout.flush()
 
 
--- a/tests/observe/test_line_output.py
+++ b/tests/observe/test_line_output.py
@@ -1,4 +1,4 @@
-"""What a line output does with a reader that takes all, some, nothing or fails."""
+"""Tests of line output to sinks that accept all, some or no bytes, or that fail."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 class FakeSink:
-    """Takes as many bytes as a test lets it, or fails."""
+    """Accepts as many bytes as a test allows, or fails."""
 
     def __init__(self, *, room: int = 0) -> None:
         self.room = room
         self.error: OSError | None = None
-        self.taken = b""
-        self.tries = 0
-        self.meanwhile = lambda: None
+        self.accepted = b""
+        self.attempts = 0
+        self.during_write = lambda: None
 
     def write(self, data: bytes) -> int:
-        self.tries += 1
-        meanwhile, self.meanwhile = self.meanwhile, lambda: None
-        meanwhile()
+        self.attempts += 1
+        during_write, self.during_write = self.during_write, lambda: None
+        during_write()
         if self.error is not None:
             raise self.error
         if not self.room:
             raise BlockingIOError
         count = min(self.room, len(data))
         self.room -= count
-        self.taken += data[:count]
+        self.accepted += data[:count]
         return count
 
 
@@ -51,40 +51,40 @@
 
 
 class TestOrder:
-    def test_the_rest_of_a_line_comes_before_the_next_one(self):
+    def test_rest_of_line_is_written_before_next_line(self):
         sink = FakeSink(room=3)
         output = output_to(sink)
         write_all(output, b"first\n", b"second\n")
         sink.room = 1_000
         output.write(b"third\n")
-        assert sink.taken == b"first\nsecond\nthird\n"
+        assert sink.accepted == b"first\nsecond\nthird\n"
 
-    def test_each_new_line_tries_again(self):
+    def test_new_line_retries_buffered_lines(self):
         sink = FakeSink()
         output = output_to(sink)
         write_all(output, b"1\n", b"2\n")
         sink.room = 2
         output.write(b"3\n")
-        assert sink.taken == b"1\n"
+        assert sink.accepted == b"1\n"
 
-    # Guards against: a line that a collection of garbage writes in the middle of another one.
+    # Guards against: a line logged by garbage collection ends up inside the line being written.
     @pytest.mark.parametrize("held", [True, False])
-    def test_a_line_in_the_middle_of_a_write_comes_after_it(self, held):
+    def test_line_logged_during_write_comes_after_it(self, held):
         sink = FakeSink()
         output = output_to(sink)
         if held:
             output.write(b"held\n")
-        sink.meanwhile = lambda: output.write(b"inner\n")
+        sink.during_write = lambda: output.write(b"inner\n")
         sink.room = 1_000
         output.write(b"outer\n")
         output.flush_at_exit()
-        lines = sink.taken.split()
+        lines = sink.accepted.split()
         assert sorted(lines) == sorted([b"held"] * held + [b"inner", b"outer"])
         assert lines[0] == (b"held" if held else b"outer")
 
 
 class TestDrops:
-    def test_holds_no_more_than_its_bound_and_counts_the_others(self):
+    def test_lines_beyond_buffer_limit_are_dropped_and_counted(self):
         sink = FakeSink()
         output = output_to(sink)
         line = b"x" * 999 + b"\n"
@@ -92,14 +92,14 @@
         write_all(output, *[line] * (kept + 5))
         sink.room = 10 * MAX_BUFFERED_BYTES
         output.write(b"after\n")
-        assert sink.taken == line * kept + b"dropped 5\n" + b"after\n"
+        assert sink.accepted == line * kept + b"dropped 5\n" + b"after\n"
 
-    def test_a_line_beyond_the_bound_is_passed_on_where_there_is_room(self):
+    def test_line_above_buffer_limit_is_written_if_sink_has_room(self):
         sink = FakeSink(room=10 * MAX_BUFFERED_BYTES)
         output_to(sink).write(b"x" * (2 * MAX_BUFFERED_BYTES))
-        assert len(sink.taken) == 2 * MAX_BUFFERED_BYTES
+        assert len(sink.accepted) == 2 * MAX_BUFFERED_BYTES
 
-    def test_what_an_error_loses_is_counted_and_said_once_it_is_over(self):
+    def test_lines_lost_by_error_are_counted_in_notice_after_recovery(self):
         sink = FakeSink()
         output = output_to(sink)
         output.write(b"held\n")
@@ -107,9 +107,9 @@
         write_all(output, b"1\n", b"2\n")
         sink.error, sink.room = None, 1_000
         output.write(b"after\n")
-        assert sink.taken == b"dropped 3\nafter\n"
+        assert sink.accepted == b"dropped 3\nafter\n"
 
-    def test_a_line_that_was_begun_goes_on_after_an_error(self):
+    def test_partly_written_line_is_completed_after_error(self):
         sink = FakeSink(room=2)
         output = output_to(sink)
         output.write(b"begun\n")
@@ -117,11 +117,11 @@
         output.write(b"second\n")
         sink.error, sink.room = None, 1_000
         output.write(b"after\n")
-        assert sink.taken == b"begun\nsecond\nafter\n"
+        assert sink.accepted == b"begun\nsecond\nafter\n"
 
 
 class TestRetries:
-    async def test_sets_no_timer_while_nothing_is_held_back(self, monkeypatch):
+    async def test_sets_no_timer_while_nothing_is_buffered(self, monkeypatch):
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(loop, "call_later", pytest.fail)
         output = output_to(FakeSink(room=1_000))
@@ -132,29 +132,29 @@
         timers = []
         call_later = loop.call_later
 
-        def note(delay_s, callback, *arguments):
+        def record_timer(delay_s, callback, *arguments):
             timers.append(callback)
             return call_later(delay_s, callback, *arguments)
 
-        monkeypatch.setattr(loop, "call_later", note)
+        monkeypatch.setattr(loop, "call_later", record_timer)
         sink = FakeSink()
         output = output_to(sink)
         write_all(output, *[b"line\n"] * 100)
         assert len(timers) == 1
         monkeypatch.undo()
         sink.room = 10_000
-        await eventually(lambda: sink.taken, "the held lines")
-        assert sink.taken == b"line\n" * 100
+        await eventually(lambda: sink.accepted, "the held lines")
+        assert sink.accepted == b"line\n" * 100
 
-    # Guards against: waking for ever for a reader that is gone.
-    async def test_sets_no_timer_for_an_outlet_that_fails(self, monkeypatch):
+    # Guards against: endless retries after the reader was closed.
+    async def test_sets_no_timer_for_failing_sink(self, monkeypatch):
         loop = asyncio.get_running_loop()
         monkeypatch.setattr(loop, "call_later", pytest.fail)
         sink = FakeSink()
         sink.error = BrokenPipeError()
         write_all(output_to(sink), b"1\n", b"2\n")
 
-    async def test_goes_on_when_the_loop_of_its_timer_is_gone(self):
+    async def test_retries_on_new_loop_after_loop_of_timer_ended(self):
         sink = FakeSink()
         output = output_to(sink)
 
@@ -164,38 +164,38 @@
         await asyncio.to_thread(lambda: asyncio.run(write()))
         output.write(b"here\n")
         sink.room = 1_000
-        await eventually(lambda: sink.taken == b"other\nhere\n", "the held lines")
+        await eventually(lambda: sink.accepted == b"other\nhere\n", "the held lines")
 
 
-class TestEnd:
-    def test_waits_only_so_long(self, monkeypatch):
-        monkeypatch.setattr("leadhollow.observe.line_output.LAST_LINES_S", 0.05)
+class TestFlushAtExit:
+    def test_returns_after_timeout(self, monkeypatch):
+        monkeypatch.setattr("leadhollow.observe.line_output.FINAL_FLUSH_TIMEOUT_S", 0.05)
         sink = FakeSink()
         output = output_to(sink)
         output.write(b"held\n")
         output.flush_at_exit()
-        assert sink.taken == b""
+        assert sink.accepted == b""
 
 
 class TestStream:
-    def test_pieces_of_a_line_come_as_one(self):
+    def test_parts_of_line_are_written_at_once(self):
         sink = FakeSink(room=1_000)
         stream = LineStream(output=output_to(sink), descriptor=2)
         print("a", "b", file=stream)
-        assert sink.tries == 1
-        assert sink.taken == b"a b\n"
+        assert sink.attempts == 1
+        assert sink.accepted == b"a b\n"
 
-    def test_a_line_without_an_end_comes_with_a_flush(self):
+    def test_unfinished_line_is_written_by_flush(self):
         sink = FakeSink(room=1_000)
         stream = LineStream(output=output_to(sink), descriptor=2)
         stream.write("so far \udc80")
-        assert sink.taken == b""
+        assert sink.accepted == b""
         stream.flush()
-        assert sink.taken == b"so far \\udc80"
+        assert sink.accepted == b"so far \\udc80"
 
 
 def fill(sink) -> int:
-    """Write until there is no room; gives how much was written."""
+    """Write until there is no room, and return the number of bytes written."""
     total = 0
     while True:
         try:
@@ -204,7 +204,7 @@
             return total
 
 
-class TestOutlets:
+class TestSinks:
     @pytest.fixture
     def pipe(self):
         ends = os.pipe()
@@ -212,30 +212,33 @@
         for descriptor in ends:
             os.close(descriptor)
 
-    def test_fit_what_the_descriptor_stands_for(self, pipe, tmp_path):
-        ours, theirs = socket.socketpair()
-        with ours, theirs, (tmp_path / "file").open("wb") as file:
-            found = [open_sink(place) for place in (pipe[1], theirs.fileno(), file.fileno())]
+    def test_depend_on_file_type(self, pipe, tmp_path):
+        local_end, remote_end = socket.socketpair()
+        with local_end, remote_end, (tmp_path / "file").open("wb") as file:
+            found = [
+                open_sink(descriptor)
+                for descriptor in (pipe[1], remote_end.fileno(), file.fileno())
+            ]
         assert [type(sink) for sink in found] == [DirectSink, SocketSink, DirectSink]
 
-    def test_a_description_of_our_own_is_used_for_a_pipe(self, pipe):
+    def test_pipe_is_reopened_and_its_shared_description_stays_blocking(self, pipe):
         assert fill(open_sink(pipe[1])) > 0
         assert os.get_blocking(pipe[1])
 
     @pytest.mark.parametrize("refused", ["open", "get_blocking"])
-    def test_a_pipe_that_cannot_be_opened_again_is_asked_for_room(self, pipe, monkeypatch, refused):
+    def test_pipe_that_cannot_be_reopened_is_polled(self, pipe, monkeypatch, refused):
         def refuse(*_):
             raise PermissionError
 
         before = len(list(Path("/proc/self/fd").iterdir()))
-        monkeypatch.setattr(outlets.os, refused, refuse)
+        monkeypatch.setattr(sinks.os, refused, refuse)
         sink = open_sink(pipe[1])
         monkeypatch.undo()
         assert isinstance(sink, PolledSink)
         assert len(list(Path("/proc/self/fd").iterdir())) == before
         assert fill(sink) > 0
 
-    def test_a_write_is_tried_where_asking_is_refused(self, pipe, monkeypatch):
+    def test_write_is_attempted_if_polling_is_not_permitted(self, pipe, monkeypatch):
         sink = PolledSink(descriptor=pipe[1])
 
         class Refused:
@@ -245,7 +248,7 @@
         sink._poll = Refused()
         assert sink.write(b"line\n") == 5
 
-    def test_a_descriptor_that_is_closed_is_an_error_and_no_wait(self):
+    def test_write_to_closed_descriptor_raises(self):
         read, write = os.pipe()
         os.close(read)
         os.close(write)
--- a/tests/observe/test_logs.py
+++ b/tests/observe/test_logs.py
@@ -1,4 +1,4 @@
-"""Log records with fields."""
+"""Tests of the format of log records."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class TestFormats:
-    def test_json_is_one_line_with_fields(self):
+    def test_json_record_is_one_line_with_fields(self):
         record = capture(lambda: get_logger("part").warning("it\nhappened", server="s", count=2))
         line = _FieldFormatter(LogFormat.JSON).format(record)
         assert "\n" not in line
@@ -33,12 +33,12 @@
         assert document["component"] == "part"
         assert (document["server"], document["count"]) == ("s", 2)
 
-    def test_text_names_the_fields(self):
+    def test_text_record_lists_fields(self):
         record = capture(lambda: log_decision("route", request_id="r", server="s"))
         text = _FieldFormatter(LogFormat.TEXT).format(record)
         assert text.endswith("decision: route request_id=r server=s")
 
-    def test_an_exception_stays_on_the_line(self):
+    def test_exception_is_a_field_of_the_record(self):
         def work():
             try:
                 raise ValueError("planted")
--- a/tests/observe/test_metrics.py
+++ b/tests/observe/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges over datagrams."""
+"""Tests of metrics sent to a statsd sink."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from leadhollow.settings.address import Address
 from tests.support import PATIENCE_S
 
-MANY = 2_000  # datagrams, more than any queue takes
+DATAGRAM_COUNT = 2_000  # datagrams; more than a socket queue holds
 
 
 @pytest.fixture
 def unread_sink(tmp_path, monkeypatch):
-    """Let the client send to a socket whose queue fills, as that of a slow link does."""
+    """Make the client send to a socket whose queue fills up, like that of a slow link."""
     path = str(tmp_path / "sink")
     kind = (socket.AF_UNIX, socket.SOCK_DGRAM)
     with socket.socket(*kind) as sink:
@@ -34,12 +34,12 @@
 
 
 class TestMetrics:
-    # Guards against: a full socket of metrics stops the process.
-    def test_do_not_wait_for_a_full_socket(self, unread_sink):
+    # Guards against: a full send buffer of the metrics socket blocks the process.
+    def test_are_dropped_if_socket_is_full(self, unread_sink):
         metrics = Metrics(sink=Address.parse("127.0.0.1:8125").unwrap(), prefix="p")
 
         def send() -> None:
-            for _ in range(MANY):
+            for _ in range(DATAGRAM_COUNT):
                 metrics.count("requests")
 
         sending = threading.Thread(target=send, daemon=True)
--- a/tests/wire/narrow_link.py
+++ b/tests/wire/narrow_link.py
@@ -1,4 +1,4 @@
-"""A link that carries few bytes a second, between two loopback sockets."""
+"""TCP proxy on loopback that limits the rate of one direction."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class NarrowLink:
-    """Passes on what a server sends at a pace, and what it is sent at once.
+    """Forwards bytes from a server at a limited rate, and bytes to it at once.
 
     Parameters
     ----------
     target
         Port of the server.
     bytes_per_s
-        Speed from the server.
+        Rate of bytes from the server.
 
     Attributes
     ----------
-    stands_still
-        Whether nothing more comes from the server.
-    passed
-        Bytes that came from it.
+    blocked
+        Whether bytes from the server are held back.
+    forwarded_bytes
+        Number of bytes forwarded from the server.
     """
 
     def __init__(self, *, target: int, bytes_per_s: float) -> None:
         self.target = target
         self.bytes_per_s = bytes_per_s
-        self.stands_still = False
-        self.passed = 0
+        self.blocked = False
+        self.forwarded_bytes = 0
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -51,22 +51,22 @@
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         from_server, to_server = await asyncio.open_connection("127.0.0.1", self.target)
         for work in (
-            self._pass(reader, to_server, paced=False),
-            self._pass(from_server, writer, paced=True),
+            self._forward(reader, to_server, limited=False),
+            self._forward(from_server, writer, limited=True),
         ):
             self._tasks.add(asyncio.get_running_loop().create_task(work))
 
-    async def _pass(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, paced: bool
+    async def _forward(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, limited: bool
     ) -> None:
-        size = max(1, int(self.bytes_per_s * STEP_S)) if paced else 65_536
+        size = max(1, int(self.bytes_per_s * STEP_S)) if limited else 65_536
         try:
             while data := await reader.read(size):
-                while paced and self.stands_still:
+                while limited and self.blocked:
                     await asyncio.sleep(STEP_S)
                 writer.write(data)
-                if paced:
-                    self.passed += len(data)
+                if limited:
+                    self.forwarded_bytes += len(data)
                     await asyncio.sleep(STEP_S)
         except OSError:
             pass
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames to bytes and back, and what damaged bytes give."""
+"""Tests of encoding and decoding frames, including malformed bytes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         frame = decode_frame(encode_frame(sent)[4:]).unwrap()
         assert (frame.code, frame.detail, frame.body) == (504, "no", None)
 
-    def test_of_every_empty_body(self):
+    def test_of_every_body_type_without_fields(self):
         for body_type in BODY_TYPES.values():
             sent = Frame(kind=FrameKind.ONEWAY, call_id=0, body=body_type())
             assert isinstance(decode_frame(encode_frame(sent)[4:]).unwrap().body, body_type)
@@ -42,24 +42,24 @@
         assert decode_frame(encode_frame(sent)[4:]).unwrap().body == dispatch
 
 
-class TestDamage:
+class TestMalformedFrames:
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(data=st.binary(max_size=200))
-    def test_any_bytes_give_a_frame_or_a_number(self, data):
+    def test_decoding_arbitrary_bytes_never_raises(self, data):
         decode_frame(data)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(position=st.integers(0, 40), mask=st.integers(1, 255), cut=st.integers(0, 10))
-    def test_a_damaged_frame_never_raises(self, position, mask, cut):
+    def test_decoding_corrupted_frame_never_raises(self, position, mask, cut):
         data = bytearray(sample()[4:])
         data[position % len(data)] ^= mask
         decode_frame(bytes(data[: len(data) - cut]))
 
-    def test_a_truncated_frame_is_malformed(self):
+    def test_truncated_frame_is_malformed(self):
         failure = decode_frame(sample()[4:-3]).unwrap_err()
         assert failure.code is Code.FRAME_MALFORMED
 
-    def test_an_unknown_body_is_named(self):
+    def test_failure_names_unknown_body_type(self):
         from thrift.protocol.TCompactProtocol import TCompactProtocolAccelerated
         from thrift.transport.TTransport import TMemoryBuffer
 
--- a/tests/wire/test_connection.py
+++ b/tests/wire/test_connection.py
@@ -1,4 +1,4 @@
-"""Calls and streams between two of our processes, and how they break."""
+"""Tests of calls and streams between two processes, including failures."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 from tests.wire.narrow_link import NarrowLink
 
 LARGE_BYTES = 60_000
-LARGE_S = 1.2  # that a narrow link takes for it
+LARGE_S = 1.2  # transfer time of LARGE_BYTES over the narrow link
 
 
-class Pair:
+class ServerAndPool:
     """A server and a pool that connects to it."""
 
     def __init__(self) -> None:
@@ -40,8 +40,8 @@
             address=Address(host="127.0.0.1", port=0), token=TOKEN, handlers=self.handlers
         )
         self.peers = self.pool(TOKEN)
-        self.handlers.on_call(StateProbe, self.answer)
-        self.handlers.on_stream(ViewWatch, self.count)
+        self.handlers.on_call(StateProbe, self.response)
+        self.handlers.on_stream(ViewWatch, self.stream_numbers)
 
     def pool(self, token: str) -> PeerPool:
         return PeerPool(vm="a", failure_domain="d", token=token, handlers=HandlerTable())
@@ -50,7 +50,7 @@
     def address(self) -> str:
         return str(self.server.address)
 
-    async def answer(self, request, connection):
+    async def response(self, request, connection):
         if request.vm == "refuse":
             return Err(Failure(code=Code.NO_CAPACITY, detail="none here"))
         if request.vm == "crash":
@@ -60,7 +60,7 @@
             await asyncio.sleep(30)
         return Ok(StateProbeReply(True, 5, connection.hello.vm, 0))
 
-    async def count(self, request, sink):
+    async def stream_numbers(self, request, sink):
         try:
             for number in range(1000 if request.vm == "long" else 3):
                 await sink.send(ViewUpdate(False, [], [str(number)], []))
@@ -73,112 +73,142 @@
 
 
 @pytest.fixture
-async def pair():
-    made = Pair()
-    assert (await made.server.start()).is_ok()
-    yield made
-    await made.peers.stop()
-    await made.server.stop()
+async def server_and_pool():
+    created = ServerAndPool()
+    assert (await created.server.start()).is_ok()
+    yield created
+    await created.peers.stop()
+    await created.server.stop()
 
 
 class TestCalls:
-    async def test_get_their_own_answers_when_many_run(self, pair):
+    async def test_that_run_concurrently_get_their_own_responses(self, server_and_pool):
         calls = [
-            pair.peers.call(pair.address, StateProbe(name), timeout_ms=5_000)
+            server_and_pool.peers.call(server_and_pool.address, StateProbe(name), timeout_ms=5_000)
             for name in ["x", "refuse"] * 20
         ]
-        answers = await asyncio.gather(*calls)
-        assert [answer.is_ok() for answer in answers] == [True, False] * 20
-        assert answers[0].unwrap().leader == "a"
-        assert answers[1].unwrap_err().code is Code.NO_CAPACITY
-
-    async def test_a_crash_of_a_handler_is_a_number(self, pair):
-        answer = await pair.peers.call(pair.address, StateProbe("crash"), timeout_ms=5_000)
-        assert answer.unwrap_err().code is Code.INTERNAL
-        assert (await pair.peers.call(pair.address, StateProbe("x"), timeout_ms=5_000)).is_ok()
+        responses = await asyncio.gather(*calls)
+        assert [response.is_ok() for response in responses] == [True, False] * 20
+        assert responses[0].unwrap().leader == "a"
+        assert responses[1].unwrap_err().code is Code.NO_CAPACITY
+
+    async def test_exception_of_handler_returns_internal_failure(self, server_and_pool):
+        response = await server_and_pool.peers.call(
+            server_and_pool.address, StateProbe("crash"), timeout_ms=5_000
+        )
+        assert response.unwrap_err().code is Code.INTERNAL
+        assert (
+            await server_and_pool.peers.call(
+                server_and_pool.address, StateProbe("x"), timeout_ms=5_000
+            )
+        ).is_ok()
 
-    async def test_no_answer_in_time_is_a_number(self, pair):
-        answer = await pair.peers.call(pair.address, StateProbe("slow"), timeout_ms=50)
-        assert answer.unwrap_err().code is Code.PEER_TIMEOUT
+    async def test_late_response_returns_timeout_failure(self, server_and_pool):
+        response = await server_and_pool.peers.call(
+            server_and_pool.address, StateProbe("slow"), timeout_ms=50
+        )
+        assert response.unwrap_err().code is Code.PEER_TIMEOUT
 
-    async def test_a_type_without_handler_is_a_number(self, pair):
-        answer = await pair.peers.call(pair.address, Done(), timeout_ms=5_000)
-        assert answer.unwrap_err().code is Code.FRAME_TYPE_UNKNOWN
+    async def test_type_without_handler_returns_failure(self, server_and_pool):
+        response = await server_and_pool.peers.call(
+            server_and_pool.address, Done(), timeout_ms=5_000
+        )
+        assert response.unwrap_err().code is Code.FRAME_TYPE_UNKNOWN
 
-    async def test_a_lost_connection_ends_waiting_calls(self, pair):
+    async def test_closed_connection_fails_pending_calls(self, server_and_pool):
         waiting = asyncio.ensure_future(
-            pair.peers.call(pair.address, StateProbe("slow"), timeout_ms=20_000)
+            server_and_pool.peers.call(
+                server_and_pool.address, StateProbe("slow"), timeout_ms=20_000
+            )
         )
-        await eventually(lambda: pair.slow_calls, "the call to arrive")
-        connection = (await pair.peers.connection(pair.address)).unwrap()
+        await eventually(lambda: server_and_pool.slow_calls, "the call to arrive")
+        connection = (await server_and_pool.peers.connection(server_and_pool.address)).unwrap()
         connection.close()
         assert (await waiting).unwrap_err().code is Code.PEER_LOST
 
 
 class TestStreams:
-    async def test_come_in_order_and_end(self, pair):
-        stream = (await pair.peers.connection(pair.address)).unwrap().stream(ViewWatch("x"))
+    async def test_return_items_in_order_and_end(self, server_and_pool):
+        stream = (
+            (await server_and_pool.peers.connection(server_and_pool.address))
+            .unwrap()
+            .stream(ViewWatch("x"))
+        )
         seen = []
         while (update := (await stream.next()).unwrap()) is not None:
             seen += update.removed
         assert seen == ["0", "1", "2"]
 
-    async def test_a_cancelled_one_stops_at_the_server(self, pair):
-        stream = (await pair.peers.connection(pair.address)).unwrap().stream(ViewWatch("long"))
+    async def test_cancelled_stream_cancels_handler_at_server(self, server_and_pool):
+        stream = (
+            (await server_and_pool.peers.connection(server_and_pool.address))
+            .unwrap()
+            .stream(ViewWatch("long"))
+        )
         await stream.next()
         stream.cancel()
-        await eventually(lambda: pair.cancelled, "the handler to stop")
+        await eventually(lambda: server_and_pool.cancelled, "the handler to stop")
 
 
-class TestALargeBody:
-    """A body that a narrow link carries for longer than a peer may be silent."""
+class TestLargeBody:
+    """A body whose transfer over a narrow link takes longer than the timeout for silence."""
 
-    async def take(self, pair, *, stands_still_after: int = 10**9):
+    async def receive(self, server_and_pool, *, blocked_after: int = 10**9):
         async def send_large(request, sink):
             await sink.send(ViewUpdate(False, [], ["x" * LARGE_BYTES], []))
             await asyncio.sleep(30)
 
-        pair.handlers.on_stream(ViewWatch, send_large)
-        link = NarrowLink(target=pair.server.address.port, bytes_per_s=LARGE_BYTES / LARGE_S)
+        server_and_pool.handlers.on_stream(ViewWatch, send_large)
+        link = NarrowLink(
+            target=server_and_pool.server.address.port, bytes_per_s=LARGE_BYTES / LARGE_S
+        )
         await link.start()
-        connection = (await pair.peers.connection(link.address)).unwrap()
+        connection = (await server_and_pool.peers.connection(link.address)).unwrap()
         stream = connection.stream(ViewWatch("large"))
-        taking = asyncio.ensure_future(stream.next(timeout_ms=1000 * LARGE_S / 3))
-        while not taking.done() and link.passed < stands_still_after:
+        receiving = asyncio.ensure_future(stream.next(timeout_ms=1000 * LARGE_S / 3))
+        while not receiving.done() and link.forwarded_bytes < blocked_after:
             await asyncio.sleep(0.01)
-        link.stands_still = link.passed >= stands_still_after
-        taken = await taking
-        await pair.peers.stop()
+        link.blocked = link.forwarded_bytes >= blocked_after
+        received = await receiving
+        await server_and_pool.peers.stop()
         await link.stop()
-        return taken
+        return received
 
-    async def test_is_waited_for_while_it_comes(self, pair):
-        taken = await self.take(pair)
-        assert len(taken.unwrap().removed[0]) == LARGE_BYTES
+    async def test_is_received_while_bytes_arrive(self, server_and_pool):
+        received = await self.receive(server_and_pool)
+        assert len(received.unwrap().removed[0]) == LARGE_BYTES
 
-    async def test_that_comes_no_further_is_given_up(self, pair):
-        taken = await self.take(pair, stands_still_after=LARGE_BYTES // 2)
-        assert taken.unwrap_err().code is Code.PEER_TIMEOUT
+    async def test_that_stops_midway_times_out(self, server_and_pool):
+        received = await self.receive(server_and_pool, blocked_after=LARGE_BYTES // 2)
+        assert received.unwrap_err().code is Code.PEER_TIMEOUT
 
-    async def test_that_does_not_begin_is_given_up(self, pair):
-        stream = (await pair.peers.connection(pair.address)).unwrap().stream(ViewWatch("long"))
+    async def test_that_does_not_start_times_out(self, server_and_pool):
+        stream = (
+            (await server_and_pool.peers.connection(server_and_pool.address))
+            .unwrap()
+            .stream(ViewWatch("long"))
+        )
         for _ in range(3):
             assert (await stream.next(timeout_ms=1_000)).is_ok()
 
         async def send_nothing(request, sink):
             await asyncio.sleep(30)
 
-        pair.handlers.on_stream(ViewWatch, send_nothing)
-        silent = (await pair.peers.connection(pair.address)).unwrap().stream(ViewWatch("x"))
+        server_and_pool.handlers.on_stream(ViewWatch, send_nothing)
+        silent = (
+            (await server_and_pool.peers.connection(server_and_pool.address))
+            .unwrap()
+            .stream(ViewWatch("x"))
+        )
         assert (await silent.next(timeout_ms=100)).unwrap_err().code is Code.PEER_TIMEOUT
 
 
-class TestGreeting:
-    async def test_a_wrong_token_is_refused(self, pair):
-        stranger = pair.pool("another-token-entirely")
-        refused = await stranger.call(pair.address, StateProbe("x"), timeout_ms=5_000)
+class TestHandshake:
+    async def test_with_wrong_token_is_rejected(self, server_and_pool):
+        other_pool = server_and_pool.pool("another-token-entirely")
+        refused = await other_pool.call(server_and_pool.address, StateProbe("x"), timeout_ms=5_000)
         assert refused.unwrap_err().code is Code.PEER_REFUSED
-        await stranger.stop()
+        await other_pool.stop()
 
     @pytest.mark.parametrize(
         "data",
@@ -190,56 +220,70 @@
             b"\x00",
         ],
     )
-    async def test_noise_ends_only_its_own_connection(self, pair, data):
+    async def test_malformed_bytes_close_only_their_own_connection(self, server_and_pool, data):
         reader, writer = await asyncio.open_connection(
-            pair.server.address.host, pair.server.address.port
+            server_and_pool.server.address.host, server_and_pool.server.address.port
         )
         writer.write(data)
         writer.write_eof()
         await asyncio.wait_for(reader.read(), 10)
         writer.close()
-        assert (await pair.peers.call(pair.address, StateProbe("x"), timeout_ms=5_000)).is_ok()
+        assert (
+            await server_and_pool.peers.call(
+                server_and_pool.address, StateProbe("x"), timeout_ms=5_000
+            )
+        ).is_ok()
 
 
-class TestCut:
-    async def test_refuses_and_heals(self, pair):
-        pair.peers.cut({pair.address})
-        lost = await pair.peers.call(pair.address, StateProbe("x"), timeout_ms=1_000)
+class TestCutAddresses:
+    async def test_are_unreachable_until_cut_is_lifted(self, server_and_pool):
+        server_and_pool.peers.cut({server_and_pool.address})
+        lost = await server_and_pool.peers.call(
+            server_and_pool.address, StateProbe("x"), timeout_ms=1_000
+        )
         assert lost.unwrap_err().code is Code.PEER_LOST
-        pair.peers.cut(set())
+        server_and_pool.peers.cut(set())
 
         async def reached():
-            return (await pair.peers.call(pair.address, StateProbe("x"), timeout_ms=1_000)).is_ok()
+            return (
+                await server_and_pool.peers.call(
+                    server_and_pool.address, StateProbe("x"), timeout_ms=1_000
+                )
+            ).is_ok()
 
         await eventually(reached, "the peer again")
 
 
-class TestEndOfTheLoop:
-    def test_with_a_peer_connected_is_no_fault(self):
-        faults: list[dict[str, object]] = []
+class TestEndOfLoop:
+    def test_with_connected_peer_reports_no_error(self):
+        errors: list[dict[str, object]] = []
 
         async def run() -> None:
             asyncio.get_running_loop().set_exception_handler(
-                lambda loop, context: faults.append(context)
+                lambda loop, context: errors.append(context)
             )
-            pair = Pair()
-            assert (await pair.server.start()).is_ok()
-            assert (await pair.peers.connection(pair.address)).is_ok()
+            server_and_pool = ServerAndPool()
+            assert (await server_and_pool.server.start()).is_ok()
+            assert (await server_and_pool.peers.connection(server_and_pool.address)).is_ok()
 
         asyncio.run(run())
-        assert not faults
+        assert not errors
 
 
 class TestStop:
-    async def test_ends_a_connection_that_was_accepted_just_now(self):
-        """Seen in a drawn run with suspended hosts: its task had not begun when all were closed."""
+    async def test_closes_connection_whose_task_has_not_started(self):
+        """Guards against: stop() waits forever for a connection accepted just before.
+
+        The task of such a connection starts only after the others were closed. This occurred in a
+        randomised run with suspended hosts.
+        """
         handlers = HandlerTable()
         listen = Address(host="127.0.0.1", port=0)
         server = WireServer(address=listen, token=TOKEN, handlers=handlers)
         assert (await server.start()).is_ok()
-        ours, theirs = socket.socketpair()
-        reader, writer = await asyncio.open_connection(sock=ours)
+        local_socket, remote_socket = socket.socketpair()
+        reader, writer = await asyncio.open_connection(sock=local_socket)
         stopping = asyncio.create_task(server.stop())
         server._on_accept(reader, writer)
         await asyncio.wait_for(stopping, 2)
-        theirs.close()
+        remote_socket.close()
--- a/tests/wire/test_lost_transport.py
+++ b/tests/wire/test_lost_transport.py
@@ -1,4 +1,4 @@
-"""Bodies that are posted in the moment in which their connection is lost."""
+"""Tests of one-way messages posted while their connection is being lost."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class TestPost:
-    # Guards against: a service that tells its peers ends for good as one of them is just lost.
+    # Guards against: the task of a service ends with an exception because a peer was just lost.
     @pytest.mark.parametrize("turns", range(4))
-    def test_on_a_connection_that_is_just_lost_raises_nothing(self, turns):
+    def test_on_connection_that_was_just_lost_does_not_raise(self, turns):
         async def work() -> None:
-            heard: list[str] = []
+            received: list[str] = []
             handlers = HandlerTable()
-            handlers.on_oneway(ServerWords, lambda body, connection: heard.append(body.address))
+            handlers.on_oneway(ServerWords, lambda body, connection: received.append(body.address))
             server = WireServer(
                 address=Address(host="127.0.0.1", port=0), token=TOKEN, handlers=handlers
             )
@@ -35,11 +35,11 @@
                 await asyncio.sleep(0)
             peers.post(address, ServerWords("first", []))
 
-            async def told() -> bool:
+            async def second_received() -> bool:
                 peers.post(address, ServerWords("second", []))
-                return "second" in heard
+                return "second" in received
 
-            await eventually(told, "a body over a new connection")
+            await eventually(second_received, "a body over a new connection")
             await peers.stop()
             await server.stop()
 
--- a/tests/wire/test_peers.py
+++ b/tests/wire/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of connections to peers: one that hangs holds nobody else up."""
+"""Tests of the peer pool: a peer that hangs does not delay messages to others."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TestLiveness:
-    def test_the_kernel_watches_both_ends_of_a_connection(self):
+    def test_both_ends_of_connection_have_keepalive_and_user_timeout(self):
         async def work() -> None:
             address = LoopbackAddresses()("peer", Listener.WIRE)
             server = WireServer(
@@ -45,7 +45,7 @@
 
 
 class TestPost:
-    def test_reaches_a_peer_while_the_dial_to_another_one_hangs(self, monkeypatch):
+    def test_reaches_peer_while_dial_to_another_one_hangs(self, monkeypatch):
         async def work() -> None:
             address = LoopbackAddresses()("peer", Listener.WIRE)
             handlers = HandlerTable()
@@ -78,7 +78,7 @@
 
         asyncio.run(asyncio.wait_for(work(), 30))
 
-    def test_drops_what_nobody_can_take(self):
+    def test_drops_message_to_unreachable_peer(self):
         async def work() -> None:
             pool = PeerPool(vm="v", failure_domain="d", token=TOKEN, handlers=HandlerTable())
             pool.cut({HANGING})
