--- a/src/leadhollow/bench/stage.py
+++ b/src/leadhollow/bench/stage.py
@@ -18,7 +18,7 @@
 from leadhollow.failure import Failure
 from leadhollow.operator_client import OperatorClient
 from leadhollow.settings.deployment import (
-    BackendPlace,
+    BackendPlacement,
     DeploymentPlan,
     Listener,
     LoopbackAddresses,
@@ -243,7 +243,7 @@
         entry = msgspec.structs.replace(wanted, listen=settings.entry.listen)
         return msgspec.structs.replace(settings, entry=entry)
 
-    async def _start_hosts(self) -> list[BackendPlace]:
+    async def _start_hosts(self) -> list[BackendPlacement]:
         places = []
         for failure_domain, count in self._plan.engines.items():
             for number in range(1, count + 1):
@@ -252,7 +252,7 @@
                     name, kind="engine", checks_fencing=number % 2 == 1
                 )
                 places.append(
-                    BackendPlace(
+                    BackendPlacement(
                         name=name,
                         failure_domain=failure_domain,
                         kind=BackendKind.ENGINE,
@@ -263,7 +263,7 @@
         domain = next(iter(self._plan.engines))
         self.service_url = await self._start_host("service", kind="service", checks_fencing=True)
         places.append(
-            BackendPlace(
+            BackendPlacement(
                 name=f"{domain}-{SERVICE}-1",
                 failure_domain=domain,
                 kind=BackendKind.SERVICE,
--- a/src/leadhollow/cli/run_command.py
+++ b/src/leadhollow/cli/run_command.py
@@ -11,7 +11,7 @@
 from leadhollow.cli.serve import serve
 from leadhollow.settings.load import load_settings
 from leadhollow.settings.model import Settings
-from leadhollow.settings.rules import check_together
+from leadhollow.settings.rules import check_deployment
 
 
 class RunCommand(Command):
@@ -54,7 +54,7 @@
             failure = loaded.unwrap_err()
             exit_code = exit_code or failure.code.exit_code
             self._report(name, str(failure), int(failure.code), failure.field)
-        together = check_together(good)
+        together = check_deployment(good)
         if together is not None:
             exit_code = exit_code or together.code.exit_code
             self._report("all files together", str(together), int(together.code), together.field)
--- a/src/leadhollow/platform/callers.py
+++ b/src/leadhollow/platform/callers.py
@@ -14,7 +14,7 @@
 from leadhollow.http1.messages import RequestHead, ResponseHead
 from leadhollow.observe.unknown_fields import UnknownFields
 from leadhollow.platform import answer_fields
-from leadhollow.platform.leaving import says_leaving
+from leadhollow.platform.leaving import announces_leaving
 
 ATTEMPT_ID = b"x-attempt-id"
 DEADLINE_MS = b"x-deadline-ms"
@@ -24,7 +24,7 @@
 LENGTH_HINT = b"x-length-hint"
 LAST_EVENT_ID = b"last-event-id"
 AUTHORIZATION = b"authorization"
-KEY_SCHEME = "bearer"
+AUTHORIZATION_SCHEME = "bearer"
 TENANT = b"x-tenant"  # an organisation, the product's group
 EXPECT_INSTANCE = b"x-expect-instance"
 EXPECT_VERSION = b"x-expect-version"
@@ -35,10 +35,10 @@
 RETRY_AFTER = b"retry-after"
 SERVER_LIMIT = b"server-limit"  # requests a second that an engine takes from all together
 
-REST_FIELDS = frozenset({RETRY_AFTER})
+BACKOFF_FIELDS = frozenset({RETRY_AFTER})
 NO_FIELDS: frozenset[bytes] = frozenset()
 
-SET_BY_US = frozenset(
+NOT_FORWARDED = frozenset(
     {
         AUTHORIZATION,
         DEADLINE_MS,
@@ -67,7 +67,7 @@
     def parse_request(self, head: RequestHead) -> Result[RequestMetadata, Failure]:
         """Decode what a caller says."""
         headers = head.headers
-        usage = _pair(headers.text(TOKEN_USAGE))
+        usage = _token_counts(headers.text(TOKEN_USAGE))
         deadline = _number(headers.text(DEADLINE_MS))
         hint = _number(headers.text(LENGTH_HINT))
         last_event = _number(headers.text(LAST_EVENT_ID))
@@ -80,7 +80,7 @@
             RequestMetadata(
                 attempt_id=headers.text(ATTEMPT_ID),
                 deadline_ms=deadline.unwrap(),
-                key=_key(headers.text(AUTHORIZATION)),
+                key=_api_key(headers.text(AUTHORIZATION)),
                 model=headers.text(MODEL),
                 prompt_tokens=prompt_tokens,
                 output_tokens=output_tokens,
@@ -92,7 +92,7 @@
 
     def dispatch_headers(self, head: RequestHead, dispatch: DispatchMetadata) -> Headers:
         """Give the fields that an engine or plain service gets."""
-        headers = head.headers.end_to_end().without(SET_BY_US)
+        headers = head.headers.end_to_end().without(NOT_FORWARDED)
         headers.add(b"X-Deadline-Ms", b"%d" % int(dispatch.deadline_ms))
         headers.add(b"X-Expect-Instance", dispatch.instance.encode())
         if dispatch.organisation is not None:
@@ -120,10 +120,10 @@
             attempt_id=None if attempt_id is None else attempt_id.decode("latin-1"),
             limit_per_s=limit_per_s,
             limit_malformed=bool(limits) and limit_per_s is None,
-            leaving=unusual and says_leaving(headers),
+            leaving=unusual and announces_leaving(headers),
             rest_s=rest_s,
             rest_malformed=bool(rests) and rest_s is None,
-            ours=REST_FIELDS if rests else NO_FIELDS,
+            ours=BACKOFF_FIELDS if rests else NO_FIELDS,
             signed=headers.get(SIGNATURE) is not None,
             not_executed=headers.get(NOT_EXECUTED) is not None,
             instance=instance or None,
@@ -146,7 +146,7 @@
         return Err(Failure(code=Code.REQUEST_MALFORMED, detail=f"no number: {text!r}"))
 
 
-def _pair(text: str) -> Result[tuple[int, int], Failure]:
+def _token_counts(text: str) -> Result[tuple[int, int], Failure]:
     if not text:
         return Ok((0, 0))
     first, _, second = text.partition(",")
@@ -156,9 +156,9 @@
         return Err(Failure(code=Code.REQUEST_MALFORMED, detail=f"no token counts: {text!r}"))
 
 
-def _key(text: str) -> str:
+def _api_key(text: str) -> str:
     scheme, _, key = text.partition(" ")
-    return key.strip() if scheme.lower() == KEY_SCHEME else ""
+    return key.strip() if scheme.lower() == AUTHORIZATION_SCHEME else ""
 
 
 def _prefix_ids(text: str) -> tuple[str, ...]:
--- a/src/leadhollow/platform/documents.py
+++ b/src/leadhollow/platform/configuration.py
@@ -23,25 +23,25 @@
     Target,
 )
 
-TYPES = {
+CALL_KINDS = {
     "idempotent": CallKind.IDEMPOTENT,
     "non_idempotent": CallKind.NON_IDEMPOTENT,
     "streaming": CallKind.STREAM,
 }
 
 
-class _Document(msgspec.Struct, frozen=True, rename="camel"):
+class _PlatformDocument(msgspec.Struct, frozen=True, rename="camel"):
     """Base of the platform's messages: names in camel case, unknown fields ignored."""
 
 
-class Backend(_Document, frozen=True):
+class BackendDocument(_PlatformDocument, frozen=True):
     """A service and its weight among those of a route."""
 
     service: str
     weight: float
 
 
-class RouteDocument(_Document, frozen=True):
+class RouteDocument(_PlatformDocument, frozen=True):
     """One route."""
 
     name: str
@@ -52,7 +52,7 @@
     target_latency_ms: float = 0.0
     priority: int = 0
     service: str | None = None
-    backends: tuple[Backend, ...] = ()
+    backends: tuple[BackendDocument, ...] = ()
     max_attempts: int = 1
     public: bool = False
     sticky: bool = False
@@ -60,14 +60,14 @@
     gap_target_ms: float = 0.0
 
 
-class ModelDocument(_Document, frozen=True):
+class ModelDocument(_PlatformDocument, frozen=True):
     """A model of an engine; ``warm_s`` is the time to load what is staged already."""
 
     name: str
     warm_s: float = 0.0
 
 
-class UsualDocument(_Document, frozen=True):
+class MeanTokensDocument(_PlatformDocument, frozen=True):
     """Mean token counts."""
 
     prompt: float = 1_000.0
@@ -88,13 +88,13 @@
     pairs_per_m: float = 0.0
     chunk: int = 2_048
     report_lag_ms: float = 0.0
-    usual: UsualDocument = UsualDocument()
+    usual: MeanTokensDocument = MeanTokensDocument()
     layers: int = 1
     chunks: int = 0
     chunk_bytes: int = msgspec.field(name="chunkBytes", default=0)
 
 
-class ServiceDocument(_Document, frozen=True):
+class ServiceDocument(_PlatformDocument, frozen=True):
     """A service; one with an ``origin`` hands out weights and answers no requests."""
 
     name: str
@@ -105,7 +105,7 @@
     engine: EngineDocument | None = None
 
 
-class LimitsDocument(_Document, frozen=True):
+class LimitsDocument(_PlatformDocument, frozen=True):
     """What callers may send."""
 
     max_header_bytes: int = 16 * 1024
@@ -114,7 +114,7 @@
     idle_timeout_ms: float = 15_000
 
 
-class TenantDocument(_Document, frozen=True):
+class TenantDocument(_PlatformDocument, frozen=True):
     """An organisation with its keys."""
 
     name: str
@@ -122,7 +122,7 @@
     priority: int | None = None
 
 
-class ConfigurationDocument(_Document, frozen=True):
+class ConfigurationDocument(_PlatformDocument, frozen=True):
     """A whole configuration."""
 
     version: int
@@ -166,7 +166,7 @@
 
 
 def _route(found: RouteDocument) -> Result[Route, Failure]:
-    kind = TYPES.get(found.type)
+    kind = CALL_KINDS.get(found.type)
     if kind is None:
         detail = f"unknown type {found.type!r}"
         return Err(Failure(code=Code.TABLE_UNREADABLE, detail=detail, field=f"routes.{found.name}"))
--- a/src/leadhollow/platform/control.py
+++ b/src/leadhollow/platform/control.py
@@ -22,26 +22,26 @@
 from leadhollow.http1.messages import RequestHead
 from leadhollow.membership.instances import Instance, InstanceState, ServedVersion
 from leadhollow.observe.unknown_fields import UnknownFields
-from leadhollow.platform.documents import read_configuration
+from leadhollow.platform.configuration import read_configuration
 from leadhollow.routing.validation import check_table
 
 CONFIGURATION_PATH = "/-/config"
 VERSION_PATH = "/-/version-put"
 INSTANCES_PATH = "/-/instances/"
-STATES = {"ready": InstanceState.READY, "draining": InstanceState.DRAINING}
-MOST_SLOTS = 100_000  # an engine that claims more does not mean what it says
-LAST_MS = (1 << 63) - 1  # what a message between processes can carry
-LAST_LAYER = 1 << 20  # stands for all layers where an engine names none
+INSTANCE_STATES = {"ready": InstanceState.READY, "draining": InstanceState.DRAINING}
+MAX_SLOTS = 100_000  # an engine that claims more does not mean what it says
+MAX_TIME_MS = (1 << 63) - 1  # what a message between processes can carry
+ALL_LAYERS_END = 1 << 20  # stands for all layers where an engine names none
 
 
-class HeldModel(msgspec.Struct, frozen=True):
+class LoadedModel(msgspec.Struct, frozen=True):
     """A model that an engine holds; ``version`` is that of its weights."""
 
     name: str
     version: int = 0
 
 
-class HeldLayers(msgspec.Struct, frozen=True):
+class LoadedLayers(msgspec.Struct, frozen=True):
     """Layers that an engine holds; ``target`` is the first one that it does not hold."""
 
     first: int = msgspec.field(name="from", default=0)
@@ -60,20 +60,20 @@
     zone: str
     state: str
     sequence: int
-    slots: Annotated[int, msgspec.Meta(ge=1, le=MOST_SLOTS)] = 1
-    born: Annotated[int, msgspec.Meta(ge=0, le=LAST_MS)] = 0
+    slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)] = 1
+    born: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_MS)] = 0
     cold_remaining_ms: float = 0.0
-    models: tuple[HeldModel, ...] = ()
-    layers: tuple[HeldLayers, ...] | HeldLayers | None = None
+    models: tuple[LoadedModel, ...] = ()
+    layers: tuple[LoadedLayers, ...] | LoadedLayers | None = None
 
 
-class Farewell(msgspec.Struct, frozen=True):
+class DeregistrationDocument(msgspec.Struct, frozen=True):
     """What an engine may say beside its name as it goes."""
 
-    born: Annotated[int, msgspec.Meta(ge=0, le=LAST_MS)] = 0
+    born: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_MS)] = 0
 
 
-class VersionOrder(msgspec.Struct, frozen=True):
+class VersionDocument(msgspec.Struct, frozen=True):
     """The order to run a version of a model's weights."""
 
     model: str
@@ -83,9 +83,9 @@
 KNOWN_HEARTBEAT_FIELDS = frozenset({*Heartbeat.__struct_encode_fields__, "stage", "version"})
 
 _members = msgspec.json.Decoder(dict[str, msgspec.Raw])
-_farewells = msgspec.json.Decoder(Farewell)
+_deregistrations = msgspec.json.Decoder(DeregistrationDocument)
 _heartbeats = msgspec.json.Decoder(Heartbeat)
-_version_orders = msgspec.json.Decoder(VersionOrder)
+_versions = msgspec.json.Decoder(VersionDocument)
 
 
 class PlatformControl:
@@ -116,27 +116,27 @@
                     self._unknown.check_members(_members.decode(body), sender=instance)
                 return heartbeat
             if method == "DELETE":
-                return _read_farewell(instance, body)
+                return _read_deregistration(instance, body)
         return Err(Failure(code=Code.SERVICE_UNKNOWN, detail=f"no call {method} {path}"))
 
     def accepted_response(self) -> ControlResponse:
         """Give the answer to a call that was carried out."""
-        return _json(200, b"{}")
+        return _json_response(200, b"{}")
 
     def document_response(self, source: bytes) -> ControlResponse:
         """Give the answer that carries the configuration in force."""
-        return _json(200, source)
+        return _json_response(200, source)
 
     def error_response(self, failure: Failure) -> ControlResponse:
         """Give the answer to a call that was not carried out."""
         status = int(failure.code.http_status)
         if failure.code in (Code.EDIT_UNKNOWN, Code.DISK_FAILED):
             status = 503  # the operator asks another replica, and the same order is safe to repeat
-        return _json(status, msgspec.json.encode({"error": str(failure)}))
+        return _json_response(status, msgspec.json.encode({"error": str(failure)}))
 
 
-def read_served(
-    models: tuple[HeldModel, ...], layers: tuple[HeldLayers, ...] | HeldLayers | None
+def served_versions(
+    models: tuple[LoadedModel, ...], layers: tuple[LoadedLayers, ...] | LoadedLayers | None
 ) -> tuple[ServedVersion, ...]:
     """Put together which layers of which weights an engine holds."""
     ranges = layers if isinstance(layers, tuple) else (layers,)
@@ -144,7 +144,7 @@
     for model in models:
         own = [found for found in ranges if found is not None and found.version == model.version]
         if not own and layers is None:
-            own = [HeldLayers(first=0, target=LAST_LAYER, version=model.version)]
+            own = [LoadedLayers(first=0, target=ALL_LAYERS_END, version=model.version)]
         served += [
             ServedVersion(
                 model=model.name,
@@ -170,15 +170,15 @@
 
 def _read_version(body: bytes) -> Result[ControlRequest, Failure]:
     try:
-        order = _version_orders.decode(body)
+        order = _versions.decode(body)
     except msgspec.MsgspecError as error:
         return Err(Failure(code=Code.VERSION_MALFORMED, detail=str(error)))
     return Ok(NameWeightsVersion(model=order.model, number=order.version))
 
 
-def _read_farewell(instance: str, body: bytes) -> Result[ControlRequest, Failure]:
+def _read_deregistration(instance: str, body: bytes) -> Result[ControlRequest, Failure]:
     try:
-        said = _farewells.decode(body) if body.strip() else Farewell()
+        said = _deregistrations.decode(body) if body.strip() else DeregistrationDocument()
     except msgspec.MsgspecError as error:
         return Err(Failure(code=Code.REQUEST_MALFORMED, detail=str(error)))
     return Ok(Deregister(instance=instance, born_ms=said.born))
@@ -189,7 +189,7 @@
         beat = _heartbeats.decode(body)
     except msgspec.MsgspecError as error:
         return Err(Failure(code=Code.REQUEST_MALFORMED, detail=str(error)))
-    state = STATES.get(beat.state)
+    state = INSTANCE_STATES.get(beat.state)
     if state is None:
         detail = f"unknown state {beat.state!r}"
         return Err(Failure(code=Code.REQUEST_MALFORMED, detail=detail))
@@ -203,7 +203,7 @@
                 sequence=beat.sequence,
                 state=state,
                 slots=beat.slots,
-                served=read_served(beat.models, beat.layers),
+                served=served_versions(beat.models, beat.layers),
                 heard_s=now_s,
                 cold_until_s=now_s + beat.cold_remaining_ms / 1000,
                 born_ms=beat.born,
@@ -212,7 +212,7 @@
     )
 
 
-def _json(status: int, body: bytes) -> ControlResponse:
+def _json_response(status: int, body: bytes) -> ControlResponse:
     headers = Headers(items=[(b"Content-Type", b"application/json")])
     return ControlResponse(status=status, headers=headers, body=body)
 
--- a/src/leadhollow/platform/engines.py
+++ b/src/leadhollow/platform/engines.py
@@ -10,8 +10,8 @@
 from leadhollow.codes import Code
 from leadhollow.failure import Failure
 from leadhollow.http1.messages import ResponseHead
-from leadhollow.platform.control import LAST_MS, HeldLayers, HeldModel, read_served
-from leadhollow.platform.leaving import says_leaving
+from leadhollow.platform.control import MAX_TIME_MS, LoadedLayers, LoadedModel, served_versions
+from leadhollow.platform.leaving import announces_leaving
 from leadhollow.staging.engine_dialect import EngineReport, LoadOrder
 
 
@@ -21,8 +21,8 @@
     ``born`` is the Unix millisecond of its start.
     """
 
-    models: tuple[HeldModel, ...] = ()
-    layers: tuple[HeldLayers, ...] | HeldLayers | None = None
+    models: tuple[LoadedModel, ...] = ()
+    layers: tuple[LoadedLayers, ...] | LoadedLayers | None = None
     busy: bool = False
     sequence: int = 0
     queued: int = 0
@@ -30,10 +30,10 @@
     kv_used: int = 0
     kv_total: int = 0
     pace: float = 1.0
-    born: Annotated[int, msgspec.Meta(ge=0, le=LAST_MS)] = 0
+    born: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_MS)] = 0
 
 
-class HeldDocument(msgspec.Struct, frozen=True):
+class StagedPiecesDocument(msgspec.Struct, frozen=True):
     """Staged pieces of a model."""
 
     held: tuple[int, ...] = ()
@@ -50,7 +50,7 @@
 
 
 _reports = msgspec.json.Decoder(ReportDocument)
-_held = msgspec.json.Decoder(HeldDocument)
+_staged_pieces = msgspec.json.Decoder(StagedPiecesDocument)
 
 
 class PlatformEngine:
@@ -70,7 +70,7 @@
             return Err(Failure(code=Code.ENGINE_FAILED, detail=f"report: {error}"))
         return Ok(
             EngineReport(
-                served=read_served(document.models, document.layers),
+                served=served_versions(document.models, document.layers),
                 busy=document.busy,
                 sequence=document.sequence,
                 active=document.active,
@@ -79,7 +79,7 @@
                 memory_tokens=document.kv_total,
                 pace=document.pace,
                 born_ms=document.born,
-                leaving=says_leaving(head.headers),
+                leaving=announces_leaving(head.headers),
             )
         )
 
@@ -98,7 +98,7 @@
     def parse_staged_list(self, body: bytes) -> Result[list[int], Failure]:
         """Decode the list of staged pieces."""
         try:
-            return Ok(list(_held.decode(body).held))
+            return Ok(list(_staged_pieces.decode(body).held))
         except msgspec.MsgspecError as error:
             return Err(Failure(code=Code.ENGINE_FAILED, detail=f"staged pieces: {error}"))
 
--- a/src/leadhollow/platform/leaving.py
+++ b/src/leadhollow/platform/leaving.py
@@ -8,7 +8,7 @@
 LEAVES = b"1"
 
 
-def says_leaving(headers: Headers) -> bool:
+def announces_leaving(headers: Headers) -> bool:
     """Tell whether an answer says that its engine leaves."""
     return LEAVES in headers.get_all(SERVER_LEAVING)
 
--- a/src/leadhollow/settings/address.py
+++ b/src/leadhollow/settings/address.py
@@ -35,20 +35,20 @@
         host, separator, port_text = text.rpartition(":")
         host = host.removeprefix("[").removesuffix("]")
         if not separator or not port_text.isascii() or not port_text.isdigit():
-            return Err(_expected(text))
+            return Err(_address_failure(text))
         try:
             ipaddress.ip_address(host)
         except ValueError:
-            return Err(_expected(text))
+            return Err(_address_failure(text))
         if int(port_text) > MAXIMUM_PORT:
-            return Err(_expected(text))
+            return Err(_address_failure(text))
         return Ok(cls(host=host, port=int(port_text)))
 
     def __str__(self) -> str:
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
 
-def _expected(text: str) -> Failure:
+def _address_failure(text: str) -> Failure:
     return Failure(
         code=Code.SETTINGS_FIELD, detail=f"expected IP-NUMBER:PORT, found {text!r}", field="address"
     )
--- a/src/leadhollow/settings/deployment.py
+++ b/src/leadhollow/settings/deployment.py
@@ -38,7 +38,7 @@
 AddressOf = Callable[[str, Listener], str]
 
 
-class BackendPlace:
+class BackendPlacement:
     """One backend server and where it stands."""
 
     __slots__ = ("failure_domain", "kind", "name", "service", "slots", "url")
@@ -92,7 +92,7 @@
         name: str,
         entries: dict[str, int],
         regions: dict[str, str],
-        backends: list[BackendPlace],
+        backends: list[BackendPlacement],
         wire_token: str,
         operator_token: str,
         link_bytes_per_s: int = 1_000_000_000,
@@ -190,7 +190,7 @@
             operators=operators,
         )
 
-    def backend(self, place: BackendPlace) -> Settings:
+    def backend(self, place: BackendPlacement) -> Settings:
         """Write the settings of the process beside a backend server."""
         return self._settings(
             vm=place.name,
--- a/src/leadhollow/settings/rules.py
+++ b/src/leadhollow/settings/rules.py
@@ -25,30 +25,30 @@
     Failure or None
         With the path of the field and what is expected there.
     """
-    for failure in _all_failures(settings):
+    for failure in _failures(settings):
         return failure
     return None
 
 
-def check_together(settings: list[Settings]) -> Failure | None:
+def check_deployment(settings: list[Settings]) -> Failure | None:
     """Find the first rule that the settings of several processes break together."""
     seen_vms: set[str] = set()
     seen_servers: set[str] = set()
     for one in settings:
         if one.vm in seen_vms:
-            return _duplicate("vm", one.vm)
+            return _duplicate_failure("vm", one.vm)
         seen_vms.add(one.vm)
         if one.backend is not None:
             if one.backend.server in seen_servers:
-                return _duplicate("backend.server", one.backend.server)
+                return _duplicate_failure("backend.server", one.backend.server)
             seen_servers.add(one.backend.server)
         if one.state_replicas != settings[0].state_replicas:
             detail = f"{one.vm} and {settings[0].vm} name different state replicas"
-            return _combination("state_replicas", detail)
+            return _combination_failure("state_replicas", detail)
     return None
 
 
-def _all_failures(settings: Settings) -> Iterator[Failure]:
+def _failures(settings: Settings) -> Iterator[Failure]:
     yield from _check_names(settings)
     yield from _check_addresses(settings)
     yield from _check_ranges(settings)
@@ -62,19 +62,19 @@
 def _check_names(settings: Settings) -> Iterator[Failure]:
     for field in ("vm", "region", "failure_domain"):
         if not valid_name(getattr(settings, field)):
-            yield _range(field, "a name of a-z, 0-9, '.', '_' or '-', at most 63")
+            yield _field_failure(field, "a name of a-z, 0-9, '.', '_' or '-', at most 63")
     if not settings.roles:
-        yield _range("roles", "at least one role")
+        yield _field_failure("roles", "at least one role")
     if len(set(settings.roles)) != len(settings.roles):
-        yield _duplicate("roles", "a role")
+        yield _duplicate_failure("roles", "a role")
     if settings.logs.level not in LOG_LEVELS:
-        yield _range("logs.level", f"one of {', '.join(LOG_LEVELS)}")
+        yield _field_failure("logs.level", f"one of {', '.join(LOG_LEVELS)}")
     tokens = [("wire.token", settings.wire.token)]
     if settings.operators is not None:
         tokens.append(("operators.token", settings.operators.token))
     for field, token in tokens:
         if len(token) < MINIMUM_TOKEN_CHARACTERS:
-            yield _range(field, f"at least {MINIMUM_TOKEN_CHARACTERS} characters")
+            yield _field_failure(field, f"at least {MINIMUM_TOKEN_CHARACTERS} characters")
 
 
 def _check_addresses(settings: Settings) -> Iterator[Failure]:
@@ -88,9 +88,9 @@
     seen: dict[str, str] = {}
     for field, address in addresses:
         if Address.parse(address).is_err():
-            yield _range(field, f"IP-NUMBER:PORT, found {address!r}")
+            yield _field_failure(field, f"IP-NUMBER:PORT, found {address!r}")
         if address in seen and not address.endswith(":0"):
-            yield _duplicate(field, f"{address}, also {seen[address]},")
+            yield _duplicate_failure(field, f"{address}, also {seen[address]},")
         seen[address] = field
 
 
@@ -114,17 +114,21 @@
         positive["entry.body_limit_bytes"] = settings.entry.body_limit_bytes
         positive["entry.default_deadline_ms"] = settings.entry.default_deadline_ms
         if not 0 <= settings.entry.retry_ratio <= 1:
-            yield _range("entry.retry_ratio", "a number from 0 to 1")
+            yield _field_failure("entry.retry_ratio", "a number from 0 to 1")
     for field, value in positive.items():
         if value < 1:
-            yield _range(field, f"a whole number above 0, found {value}")
+            yield _field_failure(field, f"a whole number above 0, found {value}")
     if settings.state.election_timeout_ms < 3 * settings.state.heartbeat_ms:
         detail = "expected at least three times state.heartbeat_ms"
-        yield _combination("state.election_timeout_ms", detail)
+        yield _combination_failure("state.election_timeout_ms", detail)
     if settings.domain.suspect_after_ms <= settings.domain.heartbeat_ms:
-        yield _combination("domain.suspect_after_ms", "expected more than domain.heartbeat_ms")
+        yield _combination_failure(
+            "domain.suspect_after_ms", "expected more than domain.heartbeat_ms"
+        )
     if settings.domain.remove_after_ms < settings.domain.suspect_after_ms:
-        yield _combination("domain.remove_after_ms", "expected at least domain.suspect_after_ms")
+        yield _combination_failure(
+            "domain.remove_after_ms", "expected at least domain.suspect_after_ms"
+        )
 
 
 def _check_peers(field: str, peers: tuple[PeerSettings, ...]) -> Iterator[Failure]:
@@ -134,13 +138,13 @@
         path = f"{field}[{position}]"
         parsed = Address.parse(peer.address)
         if parsed.is_err() or parsed.unwrap().port == 0:
-            yield _range(f"{path}.address", f"IP-NUMBER:PORT, found {peer.address!r}")
+            yield _field_failure(f"{path}.address", f"IP-NUMBER:PORT, found {peer.address!r}")
         if not valid_name(peer.vm):
-            yield _range(f"{path}.vm", "a name of a-z, 0-9, '.', '_' or '-', at most 63")
+            yield _field_failure(f"{path}.vm", "a name of a-z, 0-9, '.', '_' or '-', at most 63")
         if peer.vm in names:
-            yield _duplicate(f"{path}.vm", peer.vm)
+            yield _duplicate_failure(f"{path}.vm", peer.vm)
         if peer.address in addresses:
-            yield _duplicate(f"{path}.address", peer.address)
+            yield _duplicate_failure(f"{path}.address", peer.address)
         names.add(peer.vm)
         addresses.add(peer.address)
 
@@ -149,16 +153,16 @@
     replicas = settings.state_replicas
     if len(replicas) not in STATE_REPLICA_COUNTS:
         detail = f"expected 1, 3 or 5 replicas for a majority, found {len(replicas)}"
-        yield _combination("state_replicas", detail)
+        yield _combination_failure("state_replicas", detail)
     domains = {peer.failure_domain for peer in settings.domain_replicas}
     state_domains = {peer.failure_domain for peer in replicas}
     if len(replicas) >= 3 and len(domains) >= 3 and len(state_domains) < 3:
         detail = "the loss of one failure domain would take the majority; spread over three"
-        yield _combination("state_replicas", detail)
+        yield _combination_failure("state_replicas", detail)
     for domain in sorted(state_domains):
         inside = sum(1 for peer in replicas if peer.failure_domain == domain)
         if len(state_domains) > 1 and inside > len(replicas) // 2:
-            yield _combination("state_replicas", f"{domain} holds a majority by itself")
+            yield _combination_failure("state_replicas", f"{domain} holds a majority by itself")
 
 
 def _check_roles(settings: Settings) -> Iterator[Failure]:
@@ -166,23 +170,25 @@
     for role, section in needed.items():
         present = getattr(settings, section) is not None
         if settings.has_role(role) and not present:
-            yield _combination(section, f"role {role.value} needs this section")
+            yield _combination_failure(section, f"role {role.value} needs this section")
         if present and not settings.has_role(role):
-            yield _combination(section, f"given without role {role.value}")
+            yield _combination_failure(section, f"given without role {role.value}")
     if settings.has_role(Role.STATE):
         if settings.data_folder is None:
-            yield _combination("data_folder", "role state needs a folder on a disk")
+            yield _combination_failure("data_folder", "role state needs a folder on a disk")
         if settings.vm not in {peer.vm for peer in settings.state_replicas}:
-            yield _combination("state_replicas", f"role state, but {settings.vm} is not listed")
+            yield _combination_failure(
+                "state_replicas", f"role state, but {settings.vm} is not listed"
+            )
         if settings.operators is None:
-            yield _combination("operators", "role state needs this section")
+            yield _combination_failure("operators", "role state needs this section")
     if settings.has_role(Role.DOMAIN):
         own = [peer.vm for peer in settings.own_domain_replicas()]
         if settings.vm not in own:
             detail = f"role domain, but {settings.vm} is not listed for {settings.failure_domain}"
-            yield _combination("domain_replicas", detail)
+            yield _combination_failure("domain_replicas", detail)
     if not settings.own_domain_replicas():
-        yield _combination("domain_replicas", f"none in {settings.failure_domain}")
+        yield _combination_failure("domain_replicas", f"none in {settings.failure_domain}")
 
 
 def _check_backend(settings: Settings) -> Iterator[Failure]:
@@ -190,35 +196,37 @@
     if backend is None:
         return
     if not valid_name(backend.server):
-        yield _range("backend.server", "a name of a-z, 0-9, '.', '_' or '-', at most 63")
+        yield _field_failure("backend.server", "a name of a-z, 0-9, '.', '_' or '-', at most 63")
     if backend.slots < 1:
-        yield _range("backend.slots", f"a whole number above 0, found {backend.slots}")
+        yield _field_failure("backend.slots", f"a whole number above 0, found {backend.slots}")
     if backend.link_bytes_per_s < 1:
-        yield _range("backend.link_bytes_per_s", "a whole number above 0")
+        yield _field_failure("backend.link_bytes_per_s", "a whole number above 0")
     if not 0 < backend.weights_share <= 1:
-        yield _range("backend.weights_share", "more than 0 and at most 1")
+        yield _field_failure("backend.weights_share", "more than 0 and at most 1")
     url = urlsplit(backend.url)
     if url.scheme not in ("http", "https") or not url.hostname:
-        yield _range("backend.url", f"an http or https address, found {backend.url!r}")
+        yield _field_failure("backend.url", f"an http or https address, found {backend.url!r}")
     if backend.kind is BackendKind.SERVICE and not valid_name(backend.service):
-        yield _combination("backend.service", "kind service needs the service's name")
+        yield _combination_failure("backend.service", "kind service needs the service's name")
     if backend.kind is BackendKind.ENGINE and backend.service:
-        yield _combination("backend.service", "expected empty for an engine")
+        yield _combination_failure("backend.service", "expected empty for an engine")
     if backend.kind is BackendKind.ENGINE:
         folder = settings.data_folder
         if folder is None or not PurePosixPath(folder).is_absolute():
-            yield _combination("data_folder", "an engine's chunk store needs an absolute path")
+            yield _combination_failure(
+                "data_folder", "an engine's chunk store needs an absolute path"
+            )
 
 
-def _range(field: str, expected: str) -> Failure:
+def _field_failure(field: str, expected: str) -> Failure:
     return Failure(code=Code.SETTINGS_FIELD, detail=f"expected {expected}", field=field)
 
 
-def _combination(field: str, detail: str) -> Failure:
+def _combination_failure(field: str, detail: str) -> Failure:
     return Failure(code=Code.SETTINGS_COMBINATION, detail=detail, field=field)
 
 
-def _duplicate(field: str, name: str) -> Failure:
+def _duplicate_failure(field: str, name: str) -> Failure:
     return Failure(code=Code.SETTINGS_DUPLICATE, detail=f"{name} stands twice", field=field)
 
 
--- a/src/leadhollow/standin/site.py
+++ b/src/leadhollow/standin/site.py
@@ -13,7 +13,7 @@
 from leadhollow.operator_client import OperatorClient
 from leadhollow.process import Process
 from leadhollow.settings.deployment import (
-    BackendPlace,
+    BackendPlacement,
     DeploymentPlan,
     LoopbackAddresses,
     build_settings,
@@ -175,7 +175,7 @@
         missing = sorted(set(names) - set(self.serving(root)))
         return Err(Failure(code=Code.CHECK_FAILED, detail=f"not serving in time: {missing}"))
 
-    async def _start_backends(self) -> list[BackendPlace]:
+    async def _start_backends(self) -> list[BackendPlacement]:
         places = []
         for failure_domain, count in self._plan.engines.items():
             for number in range(1, count + 1):
@@ -188,7 +188,7 @@
                 name = f"{failure_domain}-engine-{number}"
                 self.engines[name] = engine
                 places.append(
-                    BackendPlace(
+                    BackendPlacement(
                         name=name,
                         failure_domain=failure_domain,
                         kind=BackendKind.ENGINE,
@@ -203,7 +203,7 @@
             name = f"{failure_domain}-{service}-1"
             self.services[name] = standin
             places.append(
-                BackendPlace(
+                BackendPlacement(
                     name=name,
                     failure_domain=failure_domain,
                     kind=BackendKind.SERVICE,
@@ -214,7 +214,7 @@
             )
         return places
 
-    def _build_settings(self, places: list[BackendPlace]) -> list[Settings]:
+    def _build_settings(self, places: list[BackendPlacement]) -> list[Settings]:
         plan = DeploymentPlan(
             name="loopback",
             entries=self._plan.entries,
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -22,8 +22,8 @@
 from leadhollow.http1.messages import Framing, RequestHead, ResponseHead
 from leadhollow.membership.instances import InstanceState
 from leadhollow.platform.callers import PlatformCalls
+from leadhollow.platform.configuration import read_configuration
 from leadhollow.platform.control import PlatformControl
-from leadhollow.platform.documents import read_configuration
 from leadhollow.platform.engines import PlatformEngine
 from leadhollow.platform.origin import PlatformOrigin
 from leadhollow.routing.model import CallKind
--- a/tests/settings/test_load.py
+++ b/tests/settings/test_load.py
@@ -12,7 +12,7 @@
 
 from leadhollow.codes import Code
 from leadhollow.settings.load import load_settings, parse_settings
-from leadhollow.settings.rules import check_together
+from leadhollow.settings.rules import check_deployment
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
 ENTRY = json.loads((EXAMPLES / "ifrane" / "ifrane-entry-1.json").read_text())
@@ -40,7 +40,7 @@
         loaded = [load_settings(path) for path in sorted((EXAMPLES / deployment).glob("*.json"))]
         assert len(loaded) == 17
         assert [each.unwrap_err() for each in loaded if each.is_err()] == []
-        assert check_together([each.unwrap() for each in loaded]) is None
+        assert check_deployment([each.unwrap() for each in loaded]) is None
 
 
 class TestBadFields:
@@ -108,4 +108,4 @@
 class TestTogether:
     def test_one_vm_twice_is_refused(self):
         loaded = parse_settings(json.dumps(ENTRY).encode()).unwrap()
-        assert check_together([loaded, loaded]).code is Code.SETTINGS_DUPLICATE
+        assert check_deployment([loaded, loaded]).code is Code.SETTINGS_DUPLICATE
--- a/tools/make_examples.py
+++ b/tools/make_examples.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from leadhollow.settings.deployment import (
-    BackendPlace,
+    BackendPlacement,
     DeploymentPlan,
     Listener,
     build_settings,
@@ -33,10 +33,10 @@
         return f"{host}:{PORTS[listener]}"
 
 
-def engines(domains: list[str], name: str, count: int) -> list[BackendPlace]:
+def engines(domains: list[str], name: str, count: int) -> list[BackendPlacement]:
     """Spread engines over failure domains in turn."""
     return [
-        BackendPlace(
+        BackendPlacement(
             name=f"{domains[number % len(domains)]}-{name}-{number + 1}",
             failure_domain=domains[number % len(domains)],
             kind=BackendKind.ENGINE,
@@ -51,7 +51,7 @@
     name: str, domains: list[str], drafting: str, status: str, service: str
 ) -> DeploymentPlan:
     """Describe a deployment of three failure domains, 7 entry VMs and 10 backend servers."""
-    depot = BackendPlace(
+    depot = BackendPlacement(
         name=f"{domains[0]}-{service}-1",
         failure_domain=domains[0],
         kind=BackendKind.SERVICE,
