--- a/src/leadhollow/platform/__init__.py
+++ b/src/leadhollow/platform/__init__.py
@@ -1,4 +1,5 @@
-"""The users' platform: names, formats and calls, translated into the product's own types.
+"""Adapter for the users' platform: translates its names, formats and calls into our types.
 
-Nothing here decides, waits or tries again, and nothing outside knows the names that stand here.
+The adapter makes no decisions, does not wait and does not retry. No other package uses the
+platform's names.
 """
--- a/src/leadhollow/platform/answer_fields.py
+++ b/src/leadhollow/platform/answer_fields.py
@@ -1,4 +1,7 @@
-"""Header fields of answers of engines: those that are decoded, and those that are ignored."""
+"""Header fields of responses from backend servers: decoded, ignored and rare ones.
+
+Fields that are in none of these sets are reported as unknown.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
         "x-response-signature",
     }
 )
-"""Fields that this package or `http1` reads."""
+"""Fields that this package or `http1` decodes."""
 
 IGNORED = {
     "at-server": "names the engine at fault on a path of several engines, which are not used",
@@ -28,10 +31,10 @@
     "server": "is the caller's",
     "x-weight-versions": "is the caller's; versions are known from reports",
 }
-"""Fields that say nothing of use to the product, each with the reason."""
+"""Fields that are not decoded, each with the reason."""
 
 UNUSUAL = frozenset({"retry-after", "server-leaving", "server-limit"})
-"""Decoded fields that few answers have, so that others are not searched for them."""
+"""Decoded fields that few responses have. Other responses are not searched for them."""
 
 KNOWN = DECODED | IGNORED.keys()
 
--- a/src/leadhollow/platform/callers.py
+++ b/src/leadhollow/platform/callers.py
@@ -1,4 +1,8 @@
-"""Requests of callers and answers of engines, as the platform writes them."""
+"""Header fields of caller requests and of backend server responses, in the platform's format.
+
+Entries use this module to decode a caller's request, to write the request to a backend server,
+and to decode its response.
+"""
 
 from __future__ import annotations
 
@@ -19,13 +23,13 @@
 ATTEMPT_ID = b"x-attempt-id"
 DEADLINE_MS = b"x-deadline-ms"
 MODEL = b"x-model"
-TOKEN_USAGE = b"x-token-usage"  # prompt tokens and the most output tokens
+TOKEN_USAGE = b"x-token-usage"  # prompt tokens, then the maximum of output tokens
 PROMPT_PREFIX = b"x-prompt-prefix"
 LENGTH_HINT = b"x-length-hint"
 LAST_EVENT_ID = b"last-event-id"
 AUTHORIZATION = b"authorization"
 AUTHORIZATION_SCHEME = "bearer"
-TENANT = b"x-tenant"  # an organisation, the product's group
+TENANT = b"x-tenant"  # the caller's organisation
 EXPECT_INSTANCE = b"x-expect-instance"
 EXPECT_VERSION = b"x-expect-version"
 REQUEST_PRIORITY = b"x-request-priority"
@@ -33,7 +37,7 @@
 NOT_EXECUTED = b"x-not-executed"
 INSTANCE_ID = b"x-instance-id"
 RETRY_AFTER = b"retry-after"
-SERVER_LIMIT = b"server-limit"  # requests a second that an engine takes from all together
+SERVER_LIMIT = b"server-limit"  # requests per second that a server accepts from all entries
 
 BACKOFF_FIELDS = frozenset({RETRY_AFTER})
 NO_FIELDS: frozenset[bytes] = frozenset()
@@ -51,11 +55,11 @@
         b"expect",
     }
 )
-"""Fields that callers cannot pass through: they are ours, or belong to this connection."""
+"""Request fields of callers that are set by the entry or belong to the caller's connection."""
 
 
 class PlatformCalls:
-    """Headers of requests and answers."""
+    """Decodes and writes the header fields of requests and responses."""
 
     __slots__ = ("_unknown",)
 
@@ -65,15 +69,21 @@
         )
 
     def parse_request(self, head: RequestHead) -> Result[RequestMetadata, Failure]:
-        """Decode what a caller says."""
+        """Decode the header fields of a caller's request.
+
+        Errors
+        ------
+        REQUEST_MALFORMED
+            A number or a pair of token counts cannot be parsed.
+        """
         headers = head.headers
         usage = _token_counts(headers.text(TOKEN_USAGE))
         deadline = _number(headers.text(DEADLINE_MS))
         hint = _number(headers.text(LENGTH_HINT))
         last_event = _number(headers.text(LAST_EVENT_ID))
-        for read in (usage, deadline, hint, last_event):
-            if read.is_err():
-                return Err(read.unwrap_err())
+        for parsed in (usage, deadline, hint, last_event):
+            if parsed.is_err():
+                return Err(parsed.unwrap_err())
         prompt_tokens, output_tokens = usage.unwrap()
         last_event_id = last_event.unwrap()
         return Ok(
@@ -91,7 +101,7 @@
         )
 
     def dispatch_headers(self, head: RequestHead, dispatch: DispatchMetadata) -> Headers:
-        """Give the fields that an engine or plain service gets."""
+        """Return the header fields of the request to a backend server."""
         headers = head.headers.end_to_end().without(NOT_FORWARDED)
         headers.add(b"X-Deadline-Ms", b"%d" % int(dispatch.deadline_ms))
         headers.add(b"X-Expect-Instance", dispatch.instance.encode())
@@ -106,31 +116,31 @@
         return headers
 
     def parse_response(self, head: ResponseHead) -> ResponseMetadata:
-        """Decode what an engine or plain service says."""
+        """Decode the header fields of a backend server's response."""
         headers = head.headers
         attempt_id = headers.get(ATTEMPT_ID)
         instance = headers.text(INSTANCE_ID)
-        unusual = self._unknown.check_headers(headers, sender=instance)
-        limits = headers.get_all(SERVER_LIMIT) if unusual else []
+        has_unusual = self._unknown.check_headers(headers, sender=instance)
+        limits = headers.get_all(SERVER_LIMIT) if has_unusual else []
         limit_per_s = parse_decimal(limits)
-        turned_away = unusual and head.status == HTTPStatus.SERVICE_UNAVAILABLE
-        rests = headers.get_all(RETRY_AFTER) if turned_away else []
-        rest_s = parse_decimal(rests)
+        unavailable = has_unusual and head.status == HTTPStatus.SERVICE_UNAVAILABLE
+        backoffs = headers.get_all(RETRY_AFTER) if unavailable else []
+        backoff_s = parse_decimal(backoffs)
         return ResponseMetadata(
             attempt_id=None if attempt_id is None else attempt_id.decode("latin-1"),
             limit_per_s=limit_per_s,
             limit_malformed=bool(limits) and limit_per_s is None,
-            leaving=unusual and announces_leaving(headers),
-            rest_s=rest_s,
-            rest_malformed=bool(rests) and rest_s is None,
-            ours=BACKOFF_FIELDS if rests else NO_FIELDS,
+            leaving=has_unusual and announces_leaving(headers),
+            rest_s=backoff_s,
+            rest_malformed=bool(backoffs) and backoff_s is None,
+            ours=BACKOFF_FIELDS if backoffs else NO_FIELDS,
             signed=headers.get(SIGNATURE) is not None,
             not_executed=headers.get(NOT_EXECUTED) is not None,
             instance=instance or None,
         )
 
     def error_headers(self, failure: Failure, retry_after_s: float | None) -> Headers:
-        """Give the fields of an answer of our own."""
+        """Return the header fields of a response that the entry itself gives for a failure."""
         headers = Headers(items=[(b"Content-Type", b"text/plain")])
         if retry_after_s is not None:
             headers.add(b"Retry-After", b"%.2f" % retry_after_s)
--- a/src/leadhollow/platform/configuration.py
+++ b/src/leadhollow/platform/configuration.py
@@ -1,6 +1,6 @@
-"""The operator's configuration document, field by field, and what it means to the product.
+"""Decodes the operator's configuration document into a route table.
 
-Unknown fields are ignored, because new ones may come.
+Unknown fields are ignored, because later versions of the platform may add some.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
 
 class _PlatformDocument(msgspec.Struct, frozen=True, rename="camel"):
-    """Base of the platform's messages: names in camel case, unknown fields ignored."""
+    """Base of documents with names in camel case. Unknown fields are ignored."""
 
 
 class BackendDocument(_PlatformDocument, frozen=True):
-    """A service and its weight among those of a route."""
+    """A service of a route with its share of the route's requests."""
 
     service: str
     weight: float
@@ -61,21 +61,21 @@
 
 
 class ModelDocument(_PlatformDocument, frozen=True):
-    """A model of an engine; ``warm_s`` is the time to load what is staged already."""
+    """A model of an engine; ``warm_s`` is the time to load weights that are staged."""
 
     name: str
     warm_s: float = 0.0
 
 
 class MeanTokensDocument(_PlatformDocument, frozen=True):
-    """Mean token counts."""
+    """Mean token counts of prompts and generated answers."""
 
     prompt: float = 1_000.0
     answer: float = 100.0
 
 
 class EngineDocument(msgspec.Struct, frozen=True):
-    """What the operator says of an engine; the names come in two spellings."""
+    """Figures of an engine. The platform mixes snake case and camel case in its names."""
 
     slots: int
     kv_capacity: int = msgspec.field(name="kvCapacity", default=1_000_000)
@@ -95,7 +95,7 @@
 
 
 class ServiceDocument(_PlatformDocument, frozen=True):
-    """A service; one with an ``origin`` hands out weights and answers no requests."""
+    """A service; one with an ``origin`` distributes weights and gets no requests of callers."""
 
     name: str
     health_path: str = ""
@@ -106,7 +106,7 @@
 
 
 class LimitsDocument(_PlatformDocument, frozen=True):
-    """What callers may send."""
+    """Limits on requests of callers."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
@@ -115,7 +115,7 @@
 
 
 class TenantDocument(_PlatformDocument, frozen=True):
-    """An organisation with its keys."""
+    """An organisation with its API keys."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -123,7 +123,7 @@
 
 
 class ConfigurationDocument(_PlatformDocument, frozen=True):
-    """A whole configuration."""
+    """The whole configuration document."""
 
     version: int
     routes: tuple[RouteDocument, ...]
@@ -136,20 +136,22 @@
 
 
 def read_configuration(body: bytes) -> Result[RouteTable, Failure]:
-    """Decode a configuration into a route table; whether it is valid is judged elsewhere.
+    """Decode a configuration into a route table.
+
+    The caller checks with `check_table` whether the table is valid.
 
     Errors
     ------
     TABLE_UNREADABLE
-        It is no JSON, or lacks a field, or one has another type.
+        The body is not JSON, a field is missing, or a field has a wrong type.
     """
     try:
         document = _decoder.decode(body)
     except msgspec.MsgspecError as error:
         return Err(Failure(code=Code.TABLE_UNREADABLE, detail=str(error)))
     routes = []
-    for found in document.routes:
-        route = _route(found)
+    for route_document in document.routes:
+        route = _route(route_document)
         if route.is_err():
             return Err(route.unwrap_err())
         routes.append(route.unwrap())
@@ -157,84 +159,86 @@
         RouteTable(
             number=document.version,
             routes=tuple(routes),
-            services=tuple(_service(found) for found in document.services),
-            organisations=tuple(_organisation(found) for found in document.tenants or ()),
+            services=tuple(_service(each) for each in document.services),
+            organisations=tuple(_organisation(each) for each in document.tenants or ()),
             limits=_limits(document.limits),
             keyed=document.tenants is not None,
         )
     )
 
 
-def _route(found: RouteDocument) -> Result[Route, Failure]:
-    kind = CALL_KINDS.get(found.type)
+def _route(document: RouteDocument) -> Result[Route, Failure]:
+    kind = CALL_KINDS.get(document.type)
     if kind is None:
-        detail = f"unknown type {found.type!r}"
-        return Err(Failure(code=Code.TABLE_UNREADABLE, detail=detail, field=f"routes.{found.name}"))
-    targets = [Target(service=each.service, weight=each.weight) for each in found.backends]
-    if not targets and found.service is not None:
-        targets = [Target(service=found.service, weight=1.0)]
+        detail = f"unknown type {document.type!r}"
+        return Err(
+            Failure(code=Code.TABLE_UNREADABLE, detail=detail, field=f"routes.{document.name}")
+        )
+    targets = [Target(service=each.service, weight=each.weight) for each in document.backends]
+    if not targets and document.service is not None:
+        targets = [Target(service=document.service, weight=1.0)]
     return Ok(
         Route(
-            name=found.name,
-            host=found.host,
-            path_prefix=found.path_prefix,
+            name=document.name,
+            host=document.host,
+            path_prefix=document.path_prefix,
             kind=kind,
-            timeout_ms=int(found.timeout_ms),
-            objective_ms=int(found.target_latency_ms or found.timeout_ms),
+            timeout_ms=int(document.timeout_ms),
+            objective_ms=int(document.target_latency_ms or document.timeout_ms),
             targets=tuple(targets),
-            priority=found.priority,
-            attempts=max(1, found.max_attempts),
-            public=found.public,
-            affinity=found.sticky,
-            resumable=found.resumable,
-            pause_objective_ms=int(found.gap_target_ms),
+            priority=document.priority,
+            attempts=max(1, document.max_attempts),
+            public=document.public,
+            affinity=document.sticky,
+            resumable=document.resumable,
+            pause_objective_ms=int(document.gap_target_ms),
         )
     )
 
 
-def _service(found: ServiceDocument) -> ServiceRecord:
+def _service(document: ServiceDocument) -> ServiceRecord:
     return ServiceRecord(
-        name=found.name,
-        connections=found.max_connections,
-        health_path=found.health_path,
-        origin=found.origin,
-        origin_link_mbit_per_s=found.link_mbps if found.origin is not None else 0.0,
-        engine=None if found.engine is None else _engine(found.engine),
+        name=document.name,
+        connections=document.max_connections,
+        health_path=document.health_path,
+        origin=document.origin,
+        origin_link_mbit_per_s=document.link_mbps if document.origin is not None else 0.0,
+        engine=None if document.engine is None else _engine(document.engine),
     )
 
 
-def _engine(found: EngineDocument) -> EngineSpec:
+def _engine(document: EngineDocument) -> EngineSpec:
     return EngineSpec(
-        slots=found.slots,
-        memory_tokens=found.kv_capacity,
-        stride_steps=max(1, found.stride),
-        step_ms=found.step_ms,
-        sequence_ms=found.per_seq_ms,
-        context_ms_per_k=found.context_per_k,
-        read_tokens_per_s=found.read_per_s,
-        pair_ms_per_million=found.pairs_per_m,
-        chunk_tokens=found.chunk,
-        load_s={model.name: model.warm_s for model in found.models},
-        layers=max(1, found.layers),
-        chunks=found.chunks,
-        chunk_bytes=found.chunk_bytes,
-        report_lag_ms=found.report_lag_ms,
-        usual_prompt_tokens=found.usual.prompt,
-        usual_answer_tokens=found.usual.answer,
+        slots=document.slots,
+        memory_tokens=document.kv_capacity,
+        stride_steps=max(1, document.stride),
+        step_ms=document.step_ms,
+        sequence_ms=document.per_seq_ms,
+        context_ms_per_k=document.context_per_k,
+        read_tokens_per_s=document.read_per_s,
+        pair_ms_per_million=document.pairs_per_m,
+        chunk_tokens=document.chunk,
+        load_s={model.name: model.warm_s for model in document.models},
+        layers=max(1, document.layers),
+        chunks=document.chunks,
+        chunk_bytes=document.chunk_bytes,
+        report_lag_ms=document.report_lag_ms,
+        usual_prompt_tokens=document.usual.prompt,
+        usual_answer_tokens=document.usual.answer,
     )
 
 
-def _organisation(found: TenantDocument) -> Organisation:
-    keys = tuple(hashlib.sha256(key.encode()).hexdigest() for key in found.api_keys)
-    return Organisation(name=found.name, key_sha256s=keys, priority=found.priority)
+def _organisation(document: TenantDocument) -> Organisation:
+    keys = tuple(hashlib.sha256(key.encode()).hexdigest() for key in document.api_keys)
+    return Organisation(name=document.name, key_sha256s=keys, priority=document.priority)
 
 
-def _limits(found: LimitsDocument) -> CallerLimits:
+def _limits(document: LimitsDocument) -> CallerLimits:
     return CallerLimits(
-        header_bytes=found.max_header_bytes,
-        body_bytes=found.max_body_bytes,
-        header_timeout_ms=int(found.header_timeout_ms),
-        idle_timeout_ms=int(found.idle_timeout_ms),
+        header_bytes=document.max_header_bytes,
+        body_bytes=document.max_body_bytes,
+        header_timeout_ms=int(document.header_timeout_ms),
+        idle_timeout_ms=int(document.idle_timeout_ms),
     )
 
 
--- a/src/leadhollow/platform/control.py
+++ b/src/leadhollow/platform/control.py
@@ -1,4 +1,8 @@
-"""Calls of operators and engines to a control replica, as the platform writes them."""
+"""Calls of operators and engines to a control replica, in the platform's format.
+
+Operators read and replace the configuration and name versions of weights. Engines send heartbeats
+and deregister.
+"""
 
 from __future__ import annotations
 
@@ -29,20 +33,20 @@
 VERSION_PATH = "/-/version-put"
 INSTANCES_PATH = "/-/instances/"
 INSTANCE_STATES = {"ready": InstanceState.READY, "draining": InstanceState.DRAINING}
-MAX_SLOTS = 100_000  # an engine that claims more does not mean what it says
-MAX_TIME_MS = (1 << 63) - 1  # what a message between processes can carry
-ALL_LAYERS_END = 1 << 20  # stands for all layers where an engine names none
+MAX_SLOTS = 100_000  # a larger number is taken for an error in the heartbeat
+MAX_TIME_MS = (1 << 63) - 1  # largest integer that messages between processes can carry
+ALL_LAYERS_END = 1 << 20  # end of the range of an engine that reports no layers and so has all
 
 
 class LoadedModel(msgspec.Struct, frozen=True):
-    """A model that an engine holds; ``version`` is that of its weights."""
+    """A model that an engine has loaded; ``version`` is the version of its weights."""
 
     name: str
     version: int = 0
 
 
 class LoadedLayers(msgspec.Struct, frozen=True):
-    """Layers that an engine holds; ``target`` is the first one that it does not hold."""
+    """Range of layers that an engine has loaded; ``target`` is the layer after the last one."""
 
     first: int = msgspec.field(name="from", default=0)
     target: int = 0
@@ -50,9 +54,10 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, rename="camel"):
-    """An engine's announcement; ``version`` is that of its software and of no use here.
+    """Heartbeat of an engine.
 
-    ``born`` is the Unix millisecond of its start.
+    ``born`` is the start time of the engine in Unix milliseconds. Engines also send
+    their software version as ``version``; it is not decoded.
     """
 
     service: str
@@ -68,13 +73,13 @@
 
 
 class DeregistrationDocument(msgspec.Struct, frozen=True):
-    """What an engine may say beside its name as it goes."""
+    """Optional body of a deregistration; ``born`` is the start time in Unix milliseconds."""
 
     born: Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_MS)] = 0
 
 
 class VersionDocument(msgspec.Struct, frozen=True):
-    """The order to run a version of a model's weights."""
+    """Command that names a version of a model's weights as the newest one."""
 
     model: str
     version: int
@@ -89,7 +94,7 @@
 
 
 class PlatformControl:
-    """Control calls and their answers."""
+    """Decodes control calls and writes the responses."""
 
     __slots__ = ("_unknown",)
 
@@ -99,7 +104,13 @@
     def parse_request(
         self, head: RequestHead, body: bytes, now_s: float
     ) -> Result[ControlRequest, Failure]:
-        """Decode a call."""
+        """Decode a control call.
+
+        Parameters
+        ----------
+        now_s
+            Time of receipt; times that a heartbeat gives as durations count from it.
+        """
         path = head.path
         method = head.method.decode("latin-1")
         if path == CONFIGURATION_PATH and method == "PUT":
@@ -120,40 +131,43 @@
         return Err(Failure(code=Code.SERVICE_UNKNOWN, detail=f"no call {method} {path}"))
 
     def accepted_response(self) -> ControlResponse:
-        """Give the answer to a call that was carried out."""
+        """Return the response to a call that succeeded."""
         return _json_response(200, b"{}")
 
     def document_response(self, source: bytes) -> ControlResponse:
-        """Give the answer that carries the configuration in force."""
+        """Return the response that contains the configuration in force."""
         return _json_response(200, source)
 
     def error_response(self, failure: Failure) -> ControlResponse:
-        """Give the answer to a call that was not carried out."""
+        """Return the response to a call that failed."""
         status = int(failure.code.http_status)
         if failure.code in (Code.EDIT_UNKNOWN, Code.DISK_FAILED):
-            status = 503  # the operator asks another replica, and the same order is safe to repeat
+            status = 503  # makes the operator retry at another replica; a repeated command is safe
         return _json_response(status, msgspec.json.encode({"error": str(failure)}))
 
 
 def served_versions(
     models: tuple[LoadedModel, ...], layers: tuple[LoadedLayers, ...] | LoadedLayers | None
 ) -> tuple[ServedVersion, ...]:
-    """Put together which layers of which weights an engine holds."""
+    """Combine the models and layers of a report into the versions that an engine serves.
+
+    Where ``layers`` is None, every model counts as complete.
+    """
     ranges = layers if isinstance(layers, tuple) else (layers,)
     served = []
     for model in models:
-        own = [found for found in ranges if found is not None and found.version == model.version]
-        if not own and layers is None:
-            own = [LoadedLayers(first=0, target=ALL_LAYERS_END, version=model.version)]
+        matching = [each for each in ranges if each is not None and each.version == model.version]
+        if not matching and layers is None:
+            matching = [LoadedLayers(first=0, target=ALL_LAYERS_END, version=model.version)]
         served += [
             ServedVersion(
                 model=model.name,
                 version=model.version,
-                first_layer=found.first,
-                end_layer=found.target,
+                first_layer=each.first,
+                end_layer=each.target,
             )
-            for found in own
-            if found.target > found.first
+            for each in matching
+            if each.target > each.first
         ]
     return tuple(served)
 
@@ -170,43 +184,43 @@
 
 def _read_version(body: bytes) -> Result[ControlRequest, Failure]:
     try:
-        order = _versions.decode(body)
+        document = _versions.decode(body)
     except msgspec.MsgspecError as error:
         return Err(Failure(code=Code.VERSION_MALFORMED, detail=str(error)))
-    return Ok(NameWeightsVersion(model=order.model, number=order.version))
+    return Ok(NameWeightsVersion(model=document.model, number=document.version))
 
 
 def _read_deregistration(instance: str, body: bytes) -> Result[ControlRequest, Failure]:
     try:
-        said = _deregistrations.decode(body) if body.strip() else DeregistrationDocument()
+        document = _deregistrations.decode(body) if body.strip() else DeregistrationDocument()
     except msgspec.MsgspecError as error:
         return Err(Failure(code=Code.REQUEST_MALFORMED, detail=str(error)))
-    return Ok(Deregister(instance=instance, born_ms=said.born))
+    return Ok(Deregister(instance=instance, born_ms=document.born))
 
 
 def _read_heartbeat(instance: str, body: bytes, now_s: float) -> Result[ControlRequest, Failure]:
     try:
-        beat = _heartbeats.decode(body)
+        heartbeat = _heartbeats.decode(body)
     except msgspec.MsgspecError as error:
         return Err(Failure(code=Code.REQUEST_MALFORMED, detail=str(error)))
-    state = INSTANCE_STATES.get(beat.state)
+    state = INSTANCE_STATES.get(heartbeat.state)
     if state is None:
-        detail = f"unknown state {beat.state!r}"
+        detail = f"unknown state {heartbeat.state!r}"
         return Err(Failure(code=Code.REQUEST_MALFORMED, detail=detail))
     return Ok(
         Announce(
             instance=Instance(
                 instance=instance,
-                service=beat.service,
-                address=beat.address,
-                failure_domain=beat.zone,
-                sequence=beat.sequence,
+                service=heartbeat.service,
+                address=heartbeat.address,
+                failure_domain=heartbeat.zone,
+                sequence=heartbeat.sequence,
                 state=state,
-                slots=beat.slots,
-                served=served_versions(beat.models, beat.layers),
+                slots=heartbeat.slots,
+                served=served_versions(heartbeat.models, heartbeat.layers),
                 heard_s=now_s,
-                cold_until_s=now_s + beat.cold_remaining_ms / 1000,
-                born_ms=beat.born,
+                cold_until_s=now_s + heartbeat.cold_remaining_ms / 1000,
+                born_ms=heartbeat.born,
             )
         )
     )
@@ -217,4 +231,4 @@
     return ControlResponse(status=status, headers=headers, body=body)
 
 
-__all__ = ["PlatformControl", "read_served"]
+__all__ = ["PlatformControl", "served_versions"]
--- a/src/leadhollow/platform/engines.py
+++ b/src/leadhollow/platform/engines.py
@@ -1,4 +1,7 @@
-"""Calls to the engine on the same VM, as the platform writes them."""
+"""Calls of a stager to the engine on its VM, in the platform's format.
+
+The stager reads the engine's report, stages pieces of weights, and orders the engine to load them.
+"""
 
 from __future__ import annotations
 
@@ -16,9 +19,10 @@
 
 
 class ReportDocument(msgspec.Struct, frozen=True, rename="camel"):
-    """State of an engine; ``kv_used`` is the part of its memory that cannot yield.
+    """State of an engine.
 
-    ``born`` is the Unix millisecond of its start.
+    ``kv_used`` is the part of its key-value memory, in tokens, that cannot be evicted. ``born`` is
+    the start time of the engine in Unix milliseconds.
     """
 
     models: tuple[LoadedModel, ...] = ()
@@ -34,13 +38,13 @@
 
 
 class StagedPiecesDocument(msgspec.Struct, frozen=True):
-    """Staged pieces of a model."""
+    """Indices of the staged pieces of a model."""
 
     held: tuple[int, ...] = ()
 
 
 class OrderDocument(msgspec.Struct, frozen=True, rename="camel"):
-    """An order to load what is staged; ``precondition`` is the expected sequence."""
+    """Order to load staged weights; ``precondition`` is the sequence expected in the report."""
 
     op: str
     model: str
@@ -54,12 +58,12 @@
 
 
 class PlatformEngine:
-    """Reports, stages and orders."""
+    """Builds and decodes the calls of reports, staging and load orders."""
 
     __slots__ = ()
 
     def report_target(self) -> str:
-        """Give the path of the report."""
+        """Return the path of the report."""
         return "/-/report"
 
     def parse_report(self, head: ResponseHead, body: bytes) -> Result[EngineReport, Failure]:
@@ -84,15 +88,15 @@
         )
 
     def stage_piece_target(self, model: str, index: int) -> str:
-        """Give path and query under which a piece is staged."""
+        """Return path and query of the call that stages a piece."""
         return f"/-/stage-put/{model}?pieceIndex={index}"
 
     def staged_piece_target(self, model: str, index: int) -> str:
-        """Give path and query under which a staged piece is read back."""
+        """Return path and query of the call that reads a staged piece."""
         return f"/-/stage-get/{model}?pieceIndex={index}"
 
     def staged_list_target(self, model: str) -> str:
-        """Give the path under which staged pieces are listed."""
+        """Return the path of the list of staged pieces."""
         return f"/-/stage-get/{model}"
 
     def parse_staged_list(self, body: bytes) -> Result[list[int], Failure]:
@@ -103,11 +107,11 @@
             return Err(Failure(code=Code.ENGINE_FAILED, detail=f"staged pieces: {error}"))
 
     def order_target(self) -> str:
-        """Give the path of orders."""
+        """Return the path of load orders."""
         return "/-/order"
 
     def encode_order(self, order: LoadOrder) -> bytes:
-        """Encode an order."""
+        """Encode a load order."""
         return msgspec.json.encode(
             OrderDocument(
                 op="start",
--- a/src/leadhollow/platform/origin.py
+++ b/src/leadhollow/platform/origin.py
@@ -1,4 +1,4 @@
-"""Calls to the origin of weights, as the platform writes them."""
+"""Calls to the origin of weights, in the platform's format."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ManifestDocument(msgspec.Struct, frozen=True, rename="camel"):
-    """What a version consists of; digests are written in hexadecimal."""
+    """Manifest of a version; ``digests`` are hexadecimal, one for each piece."""
 
     model: str
     version: int
@@ -27,17 +27,23 @@
 
 
 class PlatformOrigin:
-    """Manifests and pieces."""
+    """Builds and decodes the calls for manifests and pieces."""
 
     __slots__ = ()
 
     def manifest_target(self, model: str, number: int | None) -> str:
-        """Give path and query of a version's manifest."""
+        """Return path and query of a manifest; the newest version if ``number`` is None."""
         query = "" if number is None else f"?version={number}"
         return f"/-/manifest/{model}{query}"
 
     def read_manifest(self, body: bytes) -> Result[DescribedVersion, Failure]:
-        """Decode a manifest."""
+        """Decode a manifest.
+
+        Errors
+        ------
+        MANIFEST_INVALID
+            It cannot be decoded, or the total length of the digests is wrong.
+        """
         try:
             document = _manifests.decode(body)
             digests = b"".join(bytes.fromhex(digest) for digest in document.digests)
@@ -56,7 +62,7 @@
         )
 
     def piece_target(self, model: str, number: int, index: int) -> str:
-        """Give path and query of one piece."""
+        """Return path and query of one piece."""
         return f"/-/piece/{model}?pieceIndex={index}&version={number}"
 
 
--- a/src/leadhollow/platform/serve.py
+++ b/src/leadhollow/platform/serve.py
@@ -1,4 +1,4 @@
-"""``leadhollow platform``: runs one process of the platform from the settings it places."""
+"""``leadhollow platform``: runs one process with the settings file that the platform provides."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def platform_dialects() -> Dialects:
-    """Give every interface as the platform writes it."""
+    """Return the platform's implementation of every interface."""
     return Dialects(
         control=PlatformControl(),
         calls=PlatformCalls(),
@@ -26,9 +26,15 @@
 
 
 def serve(path: Path | None = None) -> int:
-    """Run until stopped; gives the exit code."""
-    found = path or Path(os.environ.get(SETTINGS_VARIABLE, ""))
-    return serve_node(found, platform_dialects())
+    """Run the process until it is stopped, and return its exit code.
+
+    Parameters
+    ----------
+    path
+        Settings file; by default the one named by the environment variable of the platform.
+    """
+    settings_path = path or Path(os.environ.get(SETTINGS_VARIABLE, ""))
+    return serve_node(settings_path, platform_dialects())
 
 
 __all__ = ["platform_dialects", "serve"]
--- a/src/leadhollow/settings/__init__.py
+++ b/src/leadhollow/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings of one process, decoded strictly."""
+"""Settings files: their classes, strict decoding and validation."""
--- a/src/leadhollow/settings/address.py
+++ b/src/leadhollow/settings/address.py
@@ -1,4 +1,4 @@
-"""Network addresses as they stand in settings."""
+"""Network addresses in the form that settings files use."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Address:
-    """An IP number and a port.
+    """An IP address and a port.
 
     Parameters
     ----------
     host
-        IP number as text.
+        IP address as text.
     port
-        0 lets the system choose when listening.
+        0 makes the operating system choose a free port for a listener.
     """
 
     __slots__ = ("host", "port")
@@ -31,7 +31,13 @@
 
     @classmethod
     def parse(cls, text: str) -> Result[Address, Failure]:
-        """Read ``HOST:PORT`` where the host is an IP number."""
+        """Parse ``HOST:PORT``, where the host is an IP address and not a name.
+
+        Errors
+        ------
+        SETTINGS_FIELD
+            The text has another form, or the port is out of range.
+        """
         host, separator, port_text = text.rpartition(":")
         host = host.removeprefix("[").removesuffix("]")
         if not separator or not port_text.isascii() or not port_text.isdigit():
--- a/src/leadhollow/settings/deployment.py
+++ b/src/leadhollow/settings/deployment.py
@@ -1,4 +1,7 @@
-"""Settings of every process of a deployment, from a short description of its places."""
+"""Builds the settings of all processes of a deployment from a short plan.
+
+Tools, tests, stand-in sites and benchmarks use this module.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 class Listener(Enum):
-    """What an address is for."""
+    """Purpose of a listener."""
 
     WIRE = "wire"
     CALLERS = "callers"
@@ -39,7 +42,7 @@
 
 
 class BackendPlacement:
-    """One backend server and where it stands."""
+    """A backend server and the failure domain in which it runs."""
 
     __slots__ = ("failure_domain", "kind", "name", "service", "slots", "url")
 
@@ -62,12 +65,12 @@
 
 
 class DeploymentPlan:
-    """Places of a deployment.
+    """Failure domains, entry VMs and backend servers of a deployment.
 
     Parameters
     ----------
     entries
-        Entry VMs of each failure domain; the first of each also keeps the state.
+        Number of entry VMs in each failure domain; the first of each is also a state replica.
     regions
         Region of each failure domain.
     """
@@ -114,7 +117,7 @@
         self.log_level = log_level
 
     def entry_names(self, failure_domain: str) -> list[str]:
-        """Name the entry VMs of a failure domain."""
+        """Return the names of the entry VMs of a failure domain."""
         count = self.entries[failure_domain]
         return [f"{failure_domain}-entry-{number}" for number in range(1, count + 1)]
 
@@ -122,14 +125,14 @@
 def build_settings(
     plan: DeploymentPlan, *, address_of: AddressOf, folder_of: Callable[[str], str]
 ) -> list[Settings]:
-    """Write the settings of every process.
+    """Build the settings of every process.
 
     Parameters
     ----------
     address_of
-        Gives the address of a VM's listener.
+        Returns the address of a VM's listener.
     folder_of
-        Gives the data folder of a VM.
+        Returns the data folder of a VM.
     """
     state_replicas = []
     domain_replicas = []
@@ -149,7 +152,7 @@
         folder_of=folder_of,
     )
     entries = [builder.entry(peer) for peer in domain_replicas]
-    return entries + [builder.backend(place) for place in plan.backends]
+    return entries + [builder.backend(placement) for placement in plan.backends]
 
 
 class _Builder:
@@ -171,11 +174,11 @@
         self.folder_of = folder_of
 
     def entry(self, peer: PeerSettings) -> Settings:
-        """Write the settings of an entry VM."""
-        keeps_state = peer.vm in {replica.vm for replica in self.state_replicas}
+        """Build the settings of an entry VM."""
+        is_state_replica = peer.vm in {replica.vm for replica in self.state_replicas}
         roles = [Role.ENTRY, Role.DOMAIN]
         operators = None
-        if keeps_state:
+        if is_state_replica:
             roles.append(Role.STATE)
             operators = OperatorSettings(
                 listen=self.address_of(peer.vm, Listener.OPERATORS),
@@ -185,24 +188,24 @@
             vm=peer.vm,
             failure_domain=peer.failure_domain,
             roles=tuple(roles),
-            data_folder=self.folder_of(peer.vm) if keeps_state else None,
+            data_folder=self.folder_of(peer.vm) if is_state_replica else None,
             entry=EntrySettings(listen=self.address_of(peer.vm, Listener.CALLERS)),
             operators=operators,
         )
 
-    def backend(self, place: BackendPlacement) -> Settings:
-        """Write the settings of the process beside a backend server."""
+    def backend(self, placement: BackendPlacement) -> Settings:
+        """Build the settings of the process beside a backend server."""
         return self._settings(
-            vm=place.name,
-            failure_domain=place.failure_domain,
+            vm=placement.name,
+            failure_domain=placement.failure_domain,
             roles=(Role.BACKEND,),
-            data_folder=self.folder_of(place.name),
+            data_folder=self.folder_of(placement.name),
             backend=BackendSettings(
-                server=place.name,
-                kind=place.kind,
-                url=place.url,
-                slots=place.slots,
-                service=place.service,
+                server=placement.name,
+                kind=placement.kind,
+                url=placement.url,
+                slots=placement.slots,
+                service=placement.service,
                 link_bytes_per_s=self.plan.link_bytes_per_s,
             ),
         )
@@ -240,7 +243,7 @@
 
 
 class LoopbackAddresses:
-    """Free loopback ports, the same for the same listener each time it is asked."""
+    """Assigns a free loopback port to each listener, and returns the same one for later calls."""
 
     __slots__ = ("_addresses",)
 
@@ -248,7 +251,7 @@
         self._addresses: dict[tuple[str, Listener], str] = {}
 
     def __call__(self, vm: str, listener: Listener) -> str:
-        """Give the address of a VM's listener."""
+        """Return the address of a VM's listener."""
         key = (vm, listener)
         if key not in self._addresses:
             taken = set(self._addresses.values())
@@ -259,9 +262,9 @@
 
 
 def _free_port() -> int:
-    """Find a free port below the range from which outgoing connections take theirs.
+    """Find a free port below the range of ephemeral ports.
 
-    A port of that range may be taken by a connection between its finding and its use.
+    An outgoing connection could take a port of that range before the caller listens on it.
     """
     while True:
         port = _generator.randrange(LOWEST_PORT, HIGHEST_PORT)
@@ -275,7 +278,7 @@
 
 __all__ = [
     "AddressOf",
-    "BackendPlace",
+    "BackendPlacement",
     "DeploymentPlan",
     "Listener",
     "LoopbackAddresses",
--- a/src/leadhollow/settings/load.py
+++ b/src/leadhollow/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads a settings file strictly."""
+"""Strict loading of settings files: unknown fields, wrong types and broken rules are errors."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 _AT_FIELD = re.compile(r"^(?P<what>.*?)(?: - at `\$?\.?(?P<field>.*)`)?$", re.DOTALL)
 _UNKNOWN_FIELD = re.compile(r"unknown field `(?P<name>[^`]*)`")
-_UNIT_ENDINGS = {"_ms": "milliseconds", "_bytes": "bytes", "_bytes_per_s": "bytes a second"}
+_UNIT_SUFFIXES = {"_ms": "milliseconds", "_bytes": "bytes", "_bytes_per_s": "bytes a second"}
 
 
 def load_settings(path: Path) -> Result[Settings, Failure]:
-    """Read, decode and check one file.
+    """Read, decode and validate a settings file.
 
     Errors
     ------
     SETTINGS_UNREADABLE, SETTINGS_NOT_JSON, SETTINGS_FIELD, SETTINGS_COMBINATION,
     SETTINGS_DUPLICATE
-        The failure names the file's field and what is expected there.
+        The failure names the field and the expected value.
     """
     try:
         data = path.read_bytes()
@@ -36,7 +36,7 @@
 
 
 def parse_settings(data: bytes) -> Result[Settings, Failure]:
-    """Decode and check settings from JSON text."""
+    """Decode and validate settings from JSON."""
     try:
         settings = msgspec.json.decode(data, type=Settings)
     except msgspec.ValidationError as error:
@@ -48,19 +48,22 @@
 
 
 def field_failure(message: str) -> Failure:
-    """Turn a decoder's message into a failure that names the field and its unit."""
+    """Convert a decoder's message to a failure that names the field and its unit.
+
+    The decoder gives the path of a field only as a part of its message.
+    """
     match = _AT_FIELD.match(message)
-    what = message if match is None else match.group("what")
+    problem = message if match is None else match.group("what")
     field = "" if match is None else (match.group("field") or "")
-    unknown = _UNKNOWN_FIELD.search(what)
+    unknown = _UNKNOWN_FIELD.search(problem)
     if unknown is not None:
         field = f"{field}.{unknown.group('name')}".removeprefix(".")
-        what = "unknown field"
-    for ending, unit in sorted(_UNIT_ENDINGS.items(), key=lambda pair: -len(pair[0])):
-        if field.endswith(ending):
-            what = f"{what} (a whole number of {unit})"
+        problem = "unknown field"
+    for suffix, unit in sorted(_UNIT_SUFFIXES.items(), key=lambda pair: -len(pair[0])):
+        if field.endswith(suffix):
+            problem = f"{problem} (a whole number of {unit})"
             break
-    return Failure(code=Code.SETTINGS_FIELD, detail=what, field=field)
+    return Failure(code=Code.SETTINGS_FIELD, detail=problem, field=field)
 
 
 __all__ = ["field_failure", "load_settings", "parse_settings"]
--- a/src/leadhollow/settings/model.py
+++ b/src/leadhollow/settings/model.py
@@ -1,4 +1,4 @@
-"""Settings of one process as classes."""
+"""Classes of the settings file of one process, one for each section."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Role(Enum):
-    """Parts of the system that a process can play."""
+    """Roles of a process. One process may have several."""
 
     ENTRY = "entry"
     STATE = "state"
@@ -19,14 +19,14 @@
 
 
 class BackendKind(Enum):
-    """What stands behind a backend role."""
+    """Kind of the backend server beside a process with the backend role."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class PeerSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Another process of the system."""
+    """Address and failure domain of another process of the system."""
 
     vm: str
     failure_domain: str
@@ -34,12 +34,12 @@
 
 
 class WireSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Listener for our own processes.
+    """Listener for the other processes of the deployment.
 
     Parameters
     ----------
     token
-        Shared by all processes of one deployment.
+        Secret shared by all processes of one deployment.
     """
 
     listen: str
@@ -47,14 +47,14 @@
 
 
 class QueueOrder(Enum):
-    """Which waiting request goes first; arrival is for experiments."""
+    """Order in which waiting requests are scheduled; ``arrival`` is for experiments."""
 
     FAIR = "fair"
     ARRIVAL = "arrival"
 
 
 class Balance(Enum):
-    """How a backend server is chosen; all but the first are for experiments."""
+    """Policy that selects a backend server; all but ``affinity`` are for experiments."""
 
     AFFINITY = "affinity"
     ROUND_ROBIN = "round-robin"
@@ -62,7 +62,7 @@
 
 
 class EntrySettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Listener for callers and the limits put on them."""
+    """Listener for callers, and the limits on their requests."""
 
     listen: str
     body_limit_bytes: int = 4 * 1024 * 1024
@@ -100,7 +100,7 @@
 
 
 class BackendSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The engine or plain service beside this process.
+    """The backend server beside this process, an engine or a plain service.
 
     Parameters
     ----------
@@ -111,7 +111,7 @@
     link_bytes_per_s
         Speed of this VM's link in each direction.
     weights_share
-        Part of the link that weights may take while requests run.
+        Share of the link, up to 1, that transfers of weights may use while requests run.
     """
 
     server: str
@@ -125,7 +125,7 @@
 
 
 class LeaseMode(Enum):
-    """How reads from the origin are shared out; all but the first are for experiments."""
+    """Policy that leases reads from the origin; all but ``exact`` are for experiments."""
 
     EXACT = "exact"
     WIDENED = "widened"
@@ -134,14 +134,14 @@
 
 
 class WeightsSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How versions are distributed.
+    """Distribution of versions of weights.
 
     Parameters
     ----------
     lease_window
-        Chunks that one reader has leased ahead.
+        Number of chunks that one reader leases in advance.
     neighbours_inside, neighbours_across
-        Exchange partners in the own failure domain and in others.
+        Number of exchange partners in the same failure domain and in other ones.
     """
 
     lease_mode: LeaseMode = LeaseMode.EXACT
@@ -151,14 +151,14 @@
 
 
 class LogSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How this process logs."""
+    """Format and level of the log."""
 
     format: LogFormat = LogFormat.JSON
     level: str = "info"
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Everything one process is told."""
+    """All settings of one process."""
 
     vm: str
     region: str
@@ -179,11 +179,11 @@
     logs: LogSettings = LogSettings()
 
     def has_role(self, role: Role) -> bool:
-        """Tell whether this process plays a role."""
+        """Tell whether this process has a role."""
         return role in self.roles
 
     def own_domain_replicas(self) -> tuple[PeerSettings, ...]:
-        """Give the domain replicas of our own failure domain."""
+        """Return the domain replicas in the failure domain of this process."""
         return tuple(
             peer for peer in self.domain_replicas if peer.failure_domain == self.failure_domain
         )
--- a/src/leadhollow/settings/node.py
+++ b/src/leadhollow/settings/node.py
@@ -1,4 +1,4 @@
-"""Settings of a process that finds the others from seed addresses."""
+"""Settings of a process that discovers the others from seed addresses."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from leadhollow.settings.load import field_failure
 from leadhollow.settings.model import LogSettings, StateSettings
 
-WIRE_PORT_OFFSET = 0  # place of our own listener in the range of ports
+WIRE_PORT_OFFSET = 0  # added to the first port of the range
 METRICS_PORT_OFFSET = 1
 PORTS_NEEDED = 2
 
 
 class NodeRole(Enum):
-    """What a process does."""
+    """Role of a process; each process has one."""
 
     ENTRY = "entry"
     CONTROL = "control"
@@ -28,33 +28,34 @@
 
 
 class EngineSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The model engine on the VM of a stager."""
+    """The engine on the VM of a stager."""
 
     address: str
     service: str
 
 
 class Bounds(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Times and shares that the operator holds the system to.
+    """Limits on times and shares that the operator requires of the system.
 
     Parameters
     ----------
     contact_ms
-        Undisturbed time after which a VM is held to the other bounds.
+        Time without a fault after which the other bounds apply to a VM.
     acknowledge_ms, configuration_ms
-        Until an order is acknowledged, and until it is in force everywhere.
+        Time until a command is acknowledged, and until it is in force on every VM.
     drain_ms
-        Until a leaving backend server gets no more requests.
+        Time until a leaving backend server gets no more requests.
     stop_grace_s
-        From SIGTERM to SIGKILL.
+        Time from SIGTERM to SIGKILL.
     version_ms
-        Until no request begins on older weights.
+        Time until no request starts on older weights.
     pass_ms
-        Longest time that an event of a stream may take through the system.
+        Longest delay that the system may add to an event of a stream.
     retry_ratio, retry_slack, retry_window_s
-        Repeated arrivals allowed in a window: a part of the requests plus a number.
+        Repeated deliveries of requests to backend servers that are allowed in a window: a share
+        of the requests plus a fixed number.
     address_reuse_s
-        After which another backend server may have the address of one that is gone.
+        Time after which the address of a stopped backend server may be given to another one.
     """
 
     contact_ms: float = 3_000
@@ -71,7 +72,7 @@
 
 
 class NodeSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Everything one such process is told.
+    """All settings of one process.
 
     Parameters
     ----------
@@ -117,33 +118,33 @@
 
     @property
     def wire_port(self) -> int:
-        """Port of our own listener, on every VM."""
+        """Port on which this process listens for the others, the same on every VM."""
         return self.ports[0] + WIRE_PORT_OFFSET
 
     @property
     def wire_address(self) -> str:
-        """Where other processes of the system reach this one."""
+        """Address at which other processes of the system connect to this one."""
         return f"{self.host}:{self.wire_port}"
 
     @property
     def metrics_address(self) -> str:
-        """Where metrics are read."""
+        """Address of the metrics listener."""
         return f"{self.host}:{self.ports[0] + METRICS_PORT_OFFSET}"
 
     @property
     def seed_wire_addresses(self) -> tuple[str, ...]:
-        """Where the seeds are reached by other processes of the system."""
+        """Addresses at which processes of the system connect to the seeds."""
         hosts = [Address.parse(seed).unwrap().host for seed in self.seeds]
         return tuple(f"{host}:{self.wire_port}" for host in hosts)
 
 
 def load_node_settings(path: Path) -> Result[NodeSettings, Failure]:
-    """Read, decode and check one file.
+    """Read, decode and validate a settings file.
 
     Errors
     ------
     SETTINGS_UNREADABLE, SETTINGS_NOT_JSON, SETTINGS_FIELD, SETTINGS_COMBINATION
-        The failure names the field and what is expected there.
+        The failure names the field and the expected value.
     """
     try:
         data = path.read_bytes()
@@ -153,7 +154,7 @@
 
 
 def parse_node_settings(data: bytes) -> Result[NodeSettings, Failure]:
-    """Decode and check settings from JSON text."""
+    """Decode and validate settings from JSON."""
     try:
         settings = msgspec.json.decode(data, type=NodeSettings)
     except msgspec.ValidationError as error:
@@ -165,15 +166,21 @@
 
 
 def check_node_settings(settings: NodeSettings) -> Failure | None:
-    """Check what the types do not say; None where all is well."""
-    named = {
+    """Check the rules that the field types do not express.
+
+    Returns
+    -------
+    Failure or None
+        The first rule that is broken; None if the settings are valid.
+    """
+    addresses = {
         "callers": settings.callers,
         "readiness": settings.readiness,
         "operators": settings.operators,
         "engine.address": settings.engine.address if settings.engine else None,
-        **{f"seeds[{place}]": seed for place, seed in enumerate(settings.seeds)},
+        **{f"seeds[{position}]": seed for position, seed in enumerate(settings.seeds)},
     }
-    for field, text in named.items():
+    for field, text in addresses.items():
         parsed = Ok(None) if text is None else Address.parse(text)
         if parsed.is_err():
             return Failure(code=Code.SETTINGS_FIELD, detail=parsed.unwrap_err().detail, field=field)
@@ -189,12 +196,12 @@
 
 
 def _check_role(settings: NodeSettings) -> Failure | None:
-    needs = {
+    required_fields = {
         NodeRole.ENTRY: ("callers", "readiness"),
         NodeRole.CONTROL: ("operators", "data_folder"),
         NodeRole.STAGER: ("engine",),
     }
-    for field in needs[settings.role]:
+    for field in required_fields[settings.role]:
         if getattr(settings, field) is None:
             detail = f"role {settings.role.value} needs {field}"
             return Failure(code=Code.SETTINGS_COMBINATION, detail=detail, field=field)
--- a/src/leadhollow/settings/rules.py
+++ b/src/leadhollow/settings/rules.py
@@ -1,4 +1,4 @@
-"""Rules that types cannot say: ranges, unique names, combinations that cannot work."""
+"""Rules that field types cannot express: ranges, unique names, impossible combinations."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def check_settings(settings: Settings) -> Failure | None:
-    """Find the first rule that settings break.
+    """Return the first rule that the settings of one process break.
 
     Returns
     -------
     Failure or None
-        With the path of the field and what is expected there.
+        Names the path of the field and the expected value; None if the settings are valid.
     """
     for failure in _failures(settings):
         return failure
@@ -31,19 +31,22 @@
 
 
 def check_deployment(settings: list[Settings]) -> Failure | None:
-    """Find the first rule that the settings of several processes break together."""
+    """Return the first rule that the processes of a deployment break together.
+
+    VMs and backend servers need unique names, and all processes must list the same state replicas.
+    """
     seen_vms: set[str] = set()
     seen_servers: set[str] = set()
-    for one in settings:
-        if one.vm in seen_vms:
-            return _duplicate_failure("vm", one.vm)
-        seen_vms.add(one.vm)
-        if one.backend is not None:
-            if one.backend.server in seen_servers:
-                return _duplicate_failure("backend.server", one.backend.server)
-            seen_servers.add(one.backend.server)
-        if one.state_replicas != settings[0].state_replicas:
-            detail = f"{one.vm} and {settings[0].vm} name different state replicas"
+    for process in settings:
+        if process.vm in seen_vms:
+            return _duplicate_failure("vm", process.vm)
+        seen_vms.add(process.vm)
+        if process.backend is not None:
+            if process.backend.server in seen_servers:
+                return _duplicate_failure("backend.server", process.backend.server)
+            seen_servers.add(process.backend.server)
+        if process.state_replicas != settings[0].state_replicas:
+            detail = f"{process.vm} and {settings[0].vm} name different state replicas"
             return _combination_failure("state_replicas", detail)
     return None
 
@@ -95,7 +98,7 @@
 
 
 def _check_ranges(settings: Settings) -> Iterator[Failure]:
-    positive = {
+    positive_fields = {
         "drain_deadline_ms": settings.drain_deadline_ms,
         "state.heartbeat_ms": settings.state.heartbeat_ms,
         "state.election_timeout_ms": settings.state.election_timeout_ms,
@@ -111,11 +114,11 @@
         "weights.neighbours_across": settings.weights.neighbours_across,
     }
     if settings.entry is not None:
-        positive["entry.body_limit_bytes"] = settings.entry.body_limit_bytes
-        positive["entry.default_deadline_ms"] = settings.entry.default_deadline_ms
+        positive_fields["entry.body_limit_bytes"] = settings.entry.body_limit_bytes
+        positive_fields["entry.default_deadline_ms"] = settings.entry.default_deadline_ms
         if not 0 <= settings.entry.retry_ratio <= 1:
             yield _field_failure("entry.retry_ratio", "a number from 0 to 1")
-    for field, value in positive.items():
+    for field, value in positive_fields.items():
         if value < 1:
             yield _field_failure(field, f"a whole number above 0, found {value}")
     if settings.state.election_timeout_ms < 3 * settings.state.heartbeat_ms:
@@ -160,14 +163,14 @@
         detail = "the loss of one failure domain would take the majority; spread over three"
         yield _combination_failure("state_replicas", detail)
     for domain in sorted(state_domains):
-        inside = sum(1 for peer in replicas if peer.failure_domain == domain)
-        if len(state_domains) > 1 and inside > len(replicas) // 2:
+        replica_count = sum(1 for peer in replicas if peer.failure_domain == domain)
+        if len(state_domains) > 1 and replica_count > len(replicas) // 2:
             yield _combination_failure("state_replicas", f"{domain} holds a majority by itself")
 
 
 def _check_roles(settings: Settings) -> Iterator[Failure]:
-    needed = {Role.ENTRY: "entry", Role.BACKEND: "backend"}
-    for role, section in needed.items():
+    sections = {Role.ENTRY: "entry", Role.BACKEND: "backend"}
+    for role, section in sections.items():
         present = getattr(settings, section) is not None
         if settings.has_role(role) and not present:
             yield _combination_failure(section, f"role {role.value} needs this section")
@@ -230,4 +233,4 @@
     return Failure(code=Code.SETTINGS_DUPLICATE, detail=f"{name} stands twice", field=field)
 
 
-__all__ = ["check_settings", "check_together"]
+__all__ = ["check_settings", "check_deployment"]
--- a/tests/platform/test_messages.py
+++ b/tests/platform/test_messages.py
@@ -1,4 +1,7 @@
-"""The platform's messages in the product's own terms."""
+"""Decoding and encoding of the platform's messages.
+
+A message that cannot be decoded gives a failure with a code; no part of it is used.
+"""
 
 from __future__ import annotations
 
@@ -31,23 +34,23 @@
 
 
 def read_report(body: bytes, *fields: tuple[bytes, bytes]):
-    answer = ResponseHead(
+    response = ResponseHead(
         status=200, reason=b"OK", headers=Headers(items=fields), framing=Framing.LENGTH
     )
-    return PlatformEngine().parse_report(answer, body)
+    return PlatformEngine().parse_report(response, body)
 
 
-def head(method: str = "POST", target: str = "/a/b", **fields: str) -> RequestHead:
+def request_head(method: str = "POST", target: str = "/a/b", **fields: str) -> RequestHead:
     items = [(name.replace("_", "-").encode(), value.encode()) for name, value in fields.items()]
     return RequestHead(method=method.encode(), target=target.encode(), headers=Headers(items=items))
 
 
-class TestCalls:
-    def test_are_read(self):
+class TestReadCall:
+    def test_decodes_all_fields(self):
         facts = (
             PlatformCalls()
             .parse_request(
-                head(
+                request_head(
                     X_Attempt_Id="abc",
                     X_Deadline_Ms="6077",
                     X_Model="m",
@@ -69,8 +72,8 @@
         assert facts.last_event_id == 12
         assert facts.key == "secret"
 
-    def test_without_any_field_are_plain(self):
-        facts = PlatformCalls().parse_request(head()).unwrap()
+    def test_gives_defaults_without_fields(self):
+        facts = PlatformCalls().parse_request(request_head()).unwrap()
         assert (facts.deadline_ms, facts.key, facts.model, facts.last_event_id) == (
             None,
             "",
@@ -82,14 +85,14 @@
         "fields",
         [{"X_Deadline_Ms": "soon"}, {"X_Token_Usage": "many,few"}, {"Last_Event_Id": "first"}],
     )
-    def test_that_cannot_be_understood_are_refused(self, fields):
-        failure = PlatformCalls().parse_request(head(**fields)).unwrap_err()
+    def test_refuses_malformed_numbers(self, fields):
+        failure = PlatformCalls().parse_request(request_head(**fields)).unwrap_err()
         assert failure.code is Code.REQUEST_MALFORMED
 
 
-class TestDispatch:
-    def test_says_what_is_ours_to_say_and_keeps_the_rest(self):
-        sent = head(
+class TestDispatched:
+    def test_replaces_the_fields_of_the_entry_and_forwards_the_others(self):
+        sent = request_head(
             Host="h.example",
             X_Attempt_Id="abc",
             X_Model="m",
@@ -121,14 +124,14 @@
         for dropped in (b"authorization", b"x-hop", b"connection", b"x-request-priority"):
             assert fields.get(dropped) is None
 
-    def test_without_a_group_names_none(self):
+    def test_drops_a_forged_tenant_where_there_is_no_group(self):
         dispatch = DispatchMetadata(deadline_ms=1.0, instance="i-1", organisation=None)
-        fields = PlatformCalls().dispatch_headers(head(X_Tenant="forged"), dispatch)
+        fields = PlatformCalls().dispatch_headers(request_head(X_Tenant="forged"), dispatch)
         assert fields.get(b"x-tenant") is None
 
 
-class TestAnswers:
-    def test_are_read(self):
+class TestReadAnswer:
+    def test_decodes_all_fields(self):
         headers = Headers(
             items=[
                 (b"X-Attempt-Id", b"abc"),
@@ -136,8 +139,8 @@
                 (b"X-Instance-Id", b"i-2"),
             ]
         )
-        answer = ResponseHead(status=200, reason=b"OK", headers=headers, framing=Framing.LENGTH)
-        facts = PlatformCalls().parse_response(answer)
+        response = ResponseHead(status=200, reason=b"OK", headers=headers, framing=Framing.LENGTH)
+        facts = PlatformCalls().parse_response(response)
         assert (facts.attempt_id, facts.signed, facts.not_executed, facts.instance) == (
             "abc",
             True,
@@ -145,10 +148,10 @@
             "i-2",
         )
 
-    def test_that_were_not_executed_say_so(self):
+    def test_decodes_not_executed(self):
         headers = Headers(items=[(b"X-Not-Executed", b"1")])
-        answer = ResponseHead(status=503, reason=b"", headers=headers, framing=Framing.LENGTH)
-        assert PlatformCalls().parse_response(answer).not_executed
+        response = ResponseHead(status=503, reason=b"", headers=headers, framing=Framing.LENGTH)
+        assert PlatformCalls().parse_response(response).not_executed
 
 
 ROUTE = {
@@ -204,8 +207,8 @@
     return configuration(routes=[{**ROUTE, **changes}])
 
 
-class TestConfigurations:
-    def test_are_read(self):
+class TestReadConfiguration:
+    def test_decodes_a_whole_document(self):
         table = read_configuration(configuration()).unwrap()
         (route,) = table.routes
         assert table.number == 7
@@ -221,12 +224,12 @@
         assert table.keyed
         assert len(table.organisations[0].key_sha256s) == 2
 
-    def test_with_a_split_keep_its_weights(self):
+    def test_keeps_the_weights_of_a_split(self):
         split = [{"service": "engines", "weight": 90}, {"service": "origin", "weight": 10}]
         (route,) = read_configuration(with_route(backends=split)).unwrap().routes
         assert [target.weight for target in route.targets] == [90.0, 10.0]
 
-    def test_without_tenants_ask_for_no_key(self):
+    def test_requires_no_key_without_tenants(self):
         without = {key: value for key, value in CONFIGURATION.items() if key != "tenants"}
         assert not read_configuration(json.dumps(without).encode()).unwrap().keyed
 
@@ -242,15 +245,15 @@
             with_route(timeoutMs="long"),
         ],
     )
-    def test_that_cannot_be_read_in_full_are_refused(self, body):
+    def test_refuses_a_document_that_cannot_be_decoded(self, body):
         assert read_configuration(body).unwrap_err().code is Code.TABLE_UNREADABLE
 
 
-def call(method: str, target: str, body: bytes = b""):
-    return PlatformControl().parse_request(head(method, target), body, 100.0)
+def read_control_call(method: str, target: str, body: bytes = b""):
+    return PlatformControl().parse_request(request_head(method, target), body, 100.0)
 
 
-BEAT = {
+HEARTBEAT = {
     "service": "s",
     "address": "10.0.0.9:80",
     "zone": "z",
@@ -265,55 +268,71 @@
 
 
 class TestControlCalls:
-    def test_are_read(self):
-        assert isinstance(call("GET", "/-/config").unwrap(), GetRouteTable)
-        put = call("PUT", "/-/config", configuration()).unwrap()
+    def test_decodes_calls_of_operators_and_deregistrations(self):
+        assert isinstance(read_control_call("GET", "/-/config").unwrap(), GetRouteTable)
+        put = read_control_call("PUT", "/-/config", configuration()).unwrap()
         assert isinstance(put, PutRouteTable)
         assert put.source == configuration()
-        named = call("POST", "/-/version-put", b'{"model":"m","version":2}').unwrap()
+        named = read_control_call("POST", "/-/version-put", b'{"model":"m","version":2}').unwrap()
         assert isinstance(named, NameWeightsVersion)
         assert (named.model, named.number) == ("m", 2)
-        gone = call("DELETE", "/-/instances/i-1").unwrap()
-        assert isinstance(gone, Deregister)
-        assert gone.instance == "i-1"
-
-    def test_announcements_are_read(self):
-        beat = call("PUT", "/-/instances/i-1", json.dumps(BEAT).encode()).unwrap()
-        assert isinstance(beat, Announce)
-        said = beat.instance
-        assert (said.instance, said.address, said.failure_domain) == ("i-1", "10.0.0.9:80", "z")
-        assert (said.sequence, said.state, said.cold_until_s) == (4, InstanceState.READY, 100.5)
-        assert [served.key() for served in said.served] == [("m", 1, 0, 16)]
-
-    def test_say_which_life_they_are_of(self):
-        beat = json.dumps({**BEAT, "born": 1_790_000_000_123}).encode()
-        announced = call("PUT", "/-/instances/i-1", beat).unwrap()
+        deregistration = read_control_call("DELETE", "/-/instances/i-1").unwrap()
+        assert isinstance(deregistration, Deregister)
+        assert deregistration.instance == "i-1"
+
+    def test_decodes_heartbeats(self):
+        heartbeat = read_control_call(
+            "PUT", "/-/instances/i-1", json.dumps(HEARTBEAT).encode()
+        ).unwrap()
+        assert isinstance(heartbeat, Announce)
+        instance = heartbeat.instance
+        assert (instance.instance, instance.address, instance.failure_domain) == (
+            "i-1",
+            "10.0.0.9:80",
+            "z",
+        )
+        assert (instance.sequence, instance.state, instance.cold_until_s) == (
+            4,
+            InstanceState.READY,
+            100.5,
+        )
+        assert [served.key() for served in instance.served] == [("m", 1, 0, 16)]
+
+    def test_decodes_the_start_time_of_the_engine(self):
+        heartbeat = json.dumps({**HEARTBEAT, "born": 1_790_000_000_123}).encode()
+        announced = read_control_call("PUT", "/-/instances/i-1", heartbeat).unwrap()
         assert announced.instance.born_ms == 1_790_000_000_123
-        gone = call("DELETE", "/-/instances/i-1", b'{"born":7}').unwrap()
-        assert gone.born_ms == 7
+        deregistration = read_control_call("DELETE", "/-/instances/i-1", b'{"born":7}').unwrap()
+        assert deregistration.born_ms == 7
 
     @pytest.mark.parametrize(
         "changes",
         [
             *({name: None} for name in ("service", "address", "zone", "state", "sequence")),
-            *({name: []} for name in BEAT if name not in ("version", "models", "layers", "stage")),
+            *(
+                {name: []}
+                for name in HEARTBEAT
+                if name not in ("version", "models", "layers", "stage")
+            ),
             *({"born": born} for born in ("soon", 1.5, -1, 1 << 64, None)),
         ],
     )
-    def test_with_a_field_of_another_type_name_nobody(self, changes):
-        beat = json.dumps({**BEAT, **changes}).encode()
-        failure = call("PUT", "/-/instances/i-1", beat).unwrap_err()
+    def test_refuses_a_heartbeat_with_a_field_of_a_wrong_type(self, changes):
+        heartbeat = json.dumps({**HEARTBEAT, **changes}).encode()
+        failure = read_control_call("PUT", "/-/instances/i-1", heartbeat).unwrap_err()
         assert failure.code is Code.REQUEST_MALFORMED
 
     @pytest.mark.parametrize("name", ["service", "address", "zone", "state", "sequence"])
-    def test_without_a_field_that_is_needed_name_nobody(self, name):
-        beat = {field: value for field, value in BEAT.items() if field != name}
-        failure = call("PUT", "/-/instances/i-1", json.dumps(beat).encode()).unwrap_err()
+    def test_refuses_a_heartbeat_without_a_required_field(self, name):
+        heartbeat = {field: value for field, value in HEARTBEAT.items() if field != name}
+        failure = read_control_call(
+            "PUT", "/-/instances/i-1", json.dumps(heartbeat).encode()
+        ).unwrap_err()
         assert failure.code is Code.REQUEST_MALFORMED
 
     @given(st.binary(max_size=200))
-    def test_that_are_any_bytes_name_nobody(self, body):
-        assert call("PUT", "/-/instances/i-1", body).is_err()
+    def test_refuses_a_heartbeat_of_random_bytes(self, body):
+        assert read_control_call("PUT", "/-/instances/i-1", body).is_err()
 
     @pytest.mark.parametrize(
         ("method", "target", "body", "code"),
@@ -328,19 +347,19 @@
             (
                 "PUT",
                 "/-/instances/i-1",
-                json.dumps({**BEAT, "state": "asleep"}).encode(),
+                json.dumps({**HEARTBEAT, "state": "asleep"}).encode(),
                 Code.REQUEST_MALFORMED,
             ),
             (
                 "PUT",
                 "/-/instances/i-1",
-                json.dumps({**BEAT, "slots": -5}).encode(),
+                json.dumps({**HEARTBEAT, "slots": -5}).encode(),
                 Code.REQUEST_MALFORMED,
             ),
         ],
     )
-    def test_that_are_wrong_get_a_number(self, method, target, body, code):
-        assert call(method, target, body).unwrap_err().code is code
+    def test_refuses_a_wrong_call_with_a_code(self, method, target, body, code):
+        assert read_control_call(method, target, body).unwrap_err().code is code
 
     @pytest.mark.parametrize(
         ("code", "status"),
@@ -352,12 +371,12 @@
             (Code.READ_UNCONFIRMED, 503),
         ],
     )
-    def test_that_fail_get_a_status_that_says_whether_to_ask_again(self, code, status):
+    def test_status_of_a_failure_tells_whether_to_retry(self, code, status):
         assert PlatformControl().error_response(Failure(code=code)).status == status
 
 
-class TestEngines:
-    def test_reports_are_read(self):
+class TestEngineCalls:
+    def test_decodes_reports(self):
         body = {
             "stage": "both",
             "models": [{"name": "m", "version": 2, "adapters": []}],
@@ -375,17 +394,17 @@
         assert report.pace == 1.5
         assert [served.key() for served in report.served] == [("m", 2, 0, 16)]
 
-    def test_without_layers_a_model_is_whole(self):
+    def test_a_model_without_layers_is_complete(self):
         report = read_report(b'{"models":[{"name":"m","version":1}]}').unwrap()
         assert report.served[0].end_layer > 1_000
 
-    def test_without_models_nothing_is_served(self):
+    def test_serves_nothing_without_models(self):
         assert read_report(b'{"models":[],"layers":[]}').unwrap().served == ()
 
-    def test_what_is_no_report_gets_a_number(self):
+    def test_refuses_a_malformed_report_with_a_code(self):
         assert read_report(b"no").unwrap_err().code is Code.ENGINE_FAILED
 
-    def test_orders_are_written(self):
+    def test_encodes_load_orders(self):
         order = LoadOrder(model="m", version=2, preempt=True, expected_sequence=3)
         assert json.loads(PlatformEngine().encode_order(order)) == {
             "op": "start",
@@ -396,8 +415,8 @@
         }
 
 
-class TestOrigin:
-    def test_manifests_are_read(self):
+class TestOriginCalls:
+    def test_decodes_manifests(self):
         digests = ["00" * 32, "ff" * 32]
         body = {"model": "m", "version": 2, "chunkBytes": 9, "layers": 4, "digests": digests}
         described = PlatformOrigin().read_manifest(json.dumps(body).encode()).unwrap()
@@ -406,7 +425,7 @@
         assert described.manifest.algorithm == "sha256"
 
     @pytest.mark.parametrize("digests", [["zz"], ["00"]])
-    def test_spoilt_manifests_get_a_number(self, digests):
+    def test_refuses_malformed_digests_with_a_code(self, digests):
         body = {"model": "m", "version": 2, "chunkBytes": 9, "digests": digests}
         failure = PlatformOrigin().read_manifest(json.dumps(body).encode()).unwrap_err()
         assert failure.code is Code.MANIFEST_INVALID
@@ -417,17 +436,17 @@
     def read(*values: bytes):
         fields = [(b"Server-Limit", value) for value in values]
         calls = PlatformCalls()
-        answer = ResponseHead(
+        response = ResponseHead(
             status=503, reason=b"", headers=Headers(items=fields), framing=Framing.LENGTH
         )
-        for _ in range(3):  # as often as it comes
-            facts = calls.parse_response(answer)
+        for _ in range(3):  # the field is looked up on every response, not only on the first
+            facts = calls.parse_response(response)
         return facts
 
     @pytest.mark.parametrize(
         ("value", "per_s"), [(b"1.3", 1.3), (b"0", 0.0), (b" 50 ", 50.0), (b"0.000000001", 1e-9)]
     )
-    def test_is_a_decimal_number_on_an_answer_of_any_status(self, value, per_s):
+    def test_decodes_a_decimal_number(self, value, per_s):
         assert self.read(value).limit_per_s == per_s
 
     @pytest.mark.parametrize(
@@ -443,12 +462,12 @@
             (b"9" * 10_000,),
         ],
     )
-    def test_that_is_none_is_told_apart_from_no_limit(self, values):
+    def test_a_malformed_limit_differs_from_no_limit(self, values):
         facts = self.read(*values)
         assert facts.limit_per_s is None
         assert facts.limit_malformed
 
-    def test_is_not_there_on_most_answers(self):
+    def test_a_response_without_the_field_has_no_limit(self):
         facts = self.read()
         assert facts.limit_per_s is None
         assert not facts.limit_malformed
@@ -456,38 +475,38 @@
 
 def read_repeatedly(status: int, *fields: tuple[bytes, bytes]):
     calls = PlatformCalls()
-    answer = ResponseHead(
+    response = ResponseHead(
         status=status, reason=b"", headers=Headers(items=fields), framing=Framing.LENGTH
     )
     for _ in range(3):
-        facts = calls.parse_response(answer)
+        facts = calls.parse_response(response)
     return facts
 
 
 class TestLeaving:
-    def test_is_said_by_reports_too(self):
+    def test_is_decoded_from_reports(self):
         assert read_report(b"{}", (b"Server-Leaving", b"1")).unwrap().leaving
         assert not read_report(b"{}").unwrap().leaving
 
     @pytest.mark.parametrize("status", [200, 429, 500, 503])
-    def test_is_said_by_an_answer_of_any_status(self, status):
+    def test_is_decoded_from_a_response_of_any_status(self, status):
         assert read_repeatedly(status, (b"Server-Leaving", b"1")).leaving
 
     @pytest.mark.parametrize("value", [b"", b"0", b"yes", b"1" * 10_000])
-    def test_is_said_by_one_value_only(self, value):
+    def test_is_announced_by_one_value_only(self, value):
         assert not read_repeatedly(200, (b"Server-Leaving", value)).leaving
 
 
-class TestRest:
+class TestBackoff:
     @pytest.mark.parametrize(
         ("value", "rest_s"), [(b"0", 0.0), (b"0.05", 0.05), (b"3", 3.0), (b" 600 ", 600.0)]
     )
-    def test_is_asked_for_in_seconds_by_an_answer_that_turns_away(self, value, rest_s):
+    def test_is_decoded_in_seconds_from_a_503_response(self, value, rest_s):
         facts = read_repeatedly(503, (b"Retry-After", value))
         assert (facts.rest_s, facts.rest_malformed) == (rest_s, False)
 
     @pytest.mark.parametrize("status", [200, 429, 500])
-    def test_is_not_asked_for_by_another_status(self, status):
+    def test_is_ignored_on_other_statuses(self, status):
         facts = read_repeatedly(status, (b"Retry-After", b"3"))
         assert (facts.rest_s, facts.rest_malformed) == (None, False)
 
@@ -505,14 +524,14 @@
             (b"9" * 10_000,),
         ],
     )
-    def test_that_is_no_number_of_seconds_is_told_apart_from_none(self, values):
+    def test_a_malformed_value_differs_from_no_back_off(self, values):
         facts = read_repeatedly(503, *[(b"Retry-After", value) for value in values])
         assert (facts.rest_s, facts.rest_malformed) == (None, True)
 
-    def test_and_leaving_may_come_together(self):
+    def test_is_decoded_together_with_leaving(self):
         facts = read_repeatedly(503, (b"Retry-After", b"3"), (b"Server-Leaving", b"1"))
         assert (facts.rest_s, facts.leaving) == (3.0, True)
 
-    def test_is_ours_and_not_the_callers(self):
+    def test_field_is_kept_from_the_caller_on_a_503_response_only(self):
         assert read_repeatedly(503, (b"Retry-After", b"3")).internal_fields == {b"retry-after"}
         assert read_repeatedly(429, (b"Retry-After", b"3")).internal_fields == frozenset()
--- a/tests/platform/test_template.py
+++ b/tests/platform/test_template.py
@@ -1,4 +1,8 @@
-"""The template that the platform fills in gives settings that a process accepts."""
+"""Checks that the settings template and the deploy file fit the settings of each role.
+
+The platform fills in the template when it places a process. A field that the settings do not accept
+would keep the process from starting.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 
 from leadhollow.settings.node import NodeRole, parse_node_settings
 
-FIELDS = {
+PLATFORM_FIELDS = {
     "nodeName": "front-a-1",
     "role": "entry",
     "machineClass": "front",
@@ -53,9 +57,9 @@
 
 
 def fill_in(template: str, fields) -> str:
-    """Fill in what the template uses: sections of a value that is there, and values."""
+    """Replace the sections of present values, and the values, in a template."""
 
-    def section(match: re.Match[str]) -> str:
+    def fill_in_section(match: re.Match[str]) -> str:
         value = look_up(fields, match["name"])
         if value is None:
             return ""
@@ -63,7 +67,7 @@
 
     text = re.sub(
         r"\{\{#(?P<name>[\w.]+)\}\}\n(?P<inside>.*?)\{\{/(?P=name)\}\}\n",
-        section,
+        fill_in_section,
         template,
         flags=re.DOTALL,
     )
@@ -79,8 +83,8 @@
 
 
 class TestTemplate:
-    def test_of_an_entry(self, template):
-        settings = parse_node_settings(fill_in(template, FIELDS).encode()).unwrap()
+    def test_gives_settings_of_an_entry(self, template):
+        settings = parse_node_settings(fill_in(template, PLATFORM_FIELDS).encode()).unwrap()
         assert settings.role is NodeRole.ENTRY
         assert settings.callers == "10.1.0.40:8005"
         assert settings.wire_address == "10.1.0.40:7700"
@@ -88,9 +92,9 @@
         assert settings.bounds.stop_grace_s == 8.5
         assert settings.bounds.retry_slack == 102.5
 
-    def test_of_a_control_replica(self, template):
+    def test_gives_settings_of_a_control_replica(self, template):
         fields = {
-            **FIELDS,
+            **PLATFORM_FIELDS,
             "role": "control",
             "listen": {"control": "10.1.0.43:8000"},
             "dataDir": "/data/control",
@@ -101,9 +105,9 @@
         assert (settings.operators, settings.data_folder) == ("10.1.0.43:8000", "/data/control")
         assert not settings.first_start
 
-    def test_of_a_stager(self, template):
+    def test_gives_settings_of_a_stager(self, template):
         fields = {
-            **FIELDS,
+            **PLATFORM_FIELDS,
             "role": "stager",
             "listen": {},
             "app": "10.1.0.44:8001",
@@ -116,16 +120,16 @@
 
 
 class TestDeployFile:
-    def test_names_a_role_of_ours_with_its_template_for_each_class(self, project_root):
+    def test_has_each_role_with_its_template_and_command(self, project_root):
         deploy = tomllib.loads((project_root / "deploy" / "system.toml").read_text("utf-8"))
         assert set(deploy["roles"]) == {role.value for role in NodeRole}
         for role in deploy["roles"].values():
             assert (project_root / role["template"]).is_file()
             assert role["run"] == "python3 -S -m leadhollow platform"
 
-    def test_asks_only_for_pinned_libraries(self, project_root):
-        wanted = (project_root / "requirements" / "deploy.txt").read_text("utf-8").split()
-        names = [word for word in wanted if re.fullmatch(r"[a-z0-9-]+", word)]
+    def test_required_libraries_are_pinned(self, project_root):
+        requirements = (project_root / "requirements" / "deploy.txt").read_text("utf-8").split()
+        names = [word for word in requirements if re.fullmatch(r"[a-z0-9-]+", word)]
         pins = (project_root / "requirements" / "constraints.txt").read_text("utf-8").lower()
         for name in {"absl-py", "httptools", "msgspec", "result", "thrift", "uvloop"}:
             assert name in names
--- a/tests/settings/test_load.py
+++ b/tests/settings/test_load.py
@@ -1,4 +1,4 @@
-"""Settings are decoded strictly; every refusal names its field."""
+"""Strict decoding of settings files: each failure names the field that is wrong."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def changed(base: dict, path: str, value: object) -> bytes:
-    """Give settings with one field replaced; a value of ... removes it."""
+    """Return settings with one field replaced; ``...`` as the value removes the field."""
     document = copy.deepcopy(base)
     *parents, last = path.split(".")
     target = document
@@ -36,14 +36,14 @@
 
 class TestExamples:
     @pytest.mark.parametrize("deployment", ["ifrane", "valdadige"])
-    def test_are_good_one_by_one_and_together(self, deployment):
+    def test_are_valid_each_and_as_a_deployment(self, deployment):
         loaded = [load_settings(path) for path in sorted((EXAMPLES / deployment).glob("*.json"))]
         assert len(loaded) == 17
         assert [each.unwrap_err() for each in loaded if each.is_err()] == []
         assert check_deployment([each.unwrap() for each in loaded]) is None
 
 
-class TestBadFields:
+class TestInvalidSettings:
     @pytest.mark.parametrize(
         ("base", "path", "value", "code", "field"),
         [
@@ -75,24 +75,24 @@
             (BACKEND, "backend.weights_share", 0, Code.SETTINGS_FIELD, "backend.weights_share"),
         ],
     )
-    def test_is_named(self, base, path, value, code, field):
+    def test_failure_names_the_field(self, base, path, value, code, field):
         failure = parse_settings(changed(base, path, value)).unwrap_err()
         assert failure.code is code
         assert field in str(failure)
 
-    def test_a_wrong_unit_says_which_is_expected(self):
+    def test_failure_of_a_wrong_unit_names_the_expected_one(self):
         failure = parse_settings(changed(ENTRY, "drain_deadline_ms", "30s")).unwrap_err()
         assert "milliseconds" in str(failure)
 
-    def test_two_replicas_in_one_domain_of_three_are_refused(self):
+    def test_two_of_three_replicas_in_one_domain_are_refused(self):
         data = changed(ENTRY, "state_replicas.1.failure_domain", "ifrane")
         failure = parse_settings(data).unwrap_err()
         assert "failure domain" in failure.detail
 
-    def test_no_json_is_refused(self):
+    def test_text_other_than_json_is_refused(self):
         assert parse_settings(b"{").unwrap_err().code is Code.SETTINGS_NOT_JSON
 
-    def test_no_file_is_refused(self, tmp_path):
+    def test_a_missing_file_is_refused(self, tmp_path):
         failure = load_settings(tmp_path / "absent.json").unwrap_err()
         assert failure.code is Code.SETTINGS_UNREADABLE
 
@@ -101,11 +101,11 @@
         field=st.sampled_from(sorted(ENTRY)),
         value=st.none() | st.booleans() | st.integers() | st.text() | st.lists(st.integers()),
     )
-    def test_any_value_is_taken_or_refused(self, field, value):
+    def test_a_random_value_raises_no_exception(self, field, value):
         parse_settings(changed(ENTRY, field, value))
 
 
-class TestTogether:
-    def test_one_vm_twice_is_refused(self):
+class TestCheckDeployment:
+    def test_two_processes_with_the_same_vm_are_refused(self):
         loaded = parse_settings(json.dumps(ENTRY).encode()).unwrap()
         assert check_deployment([loaded, loaded]).code is Code.SETTINGS_DUPLICATE
--- a/tests/settings/test_node.py
+++ b/tests/settings/test_node.py
@@ -1,4 +1,4 @@
-"""Settings of processes that find each other from seeds."""
+"""Settings of processes that discover each other from seeds: decoding and validation."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from leadhollow.codes import Code
 from leadhollow.settings.node import load_node_settings, parse_node_settings
 
-GOOD = {
+VALID = {
     "vm": "v",
     "region": "r",
     "failure_domain": "d",
@@ -23,12 +23,12 @@
 
 
 def parse(**changes):
-    fields = {key: value for key, value in {**GOOD, **changes}.items() if value is not None}
+    fields = {key: value for key, value in {**VALID, **changes}.items() if value is not None}
     return parse_node_settings(json.dumps(fields).encode())
 
 
 class TestNodeSettings:
-    def test_that_are_good(self):
+    def test_valid_settings_are_accepted(self):
         assert parse().unwrap().metrics_address == "10.0.0.1:7001"
 
     @pytest.mark.parametrize(
@@ -48,13 +48,13 @@
             ({"readiness": "10.0.0.1:99999"}, Code.SETTINGS_FIELD, "readiness"),
         ],
     )
-    def test_that_are_wrong_name_the_field(self, changes, code, field):
+    def test_failure_names_the_field(self, changes, code, field):
         failure = parse(**changes).unwrap_err()
         assert (failure.code, failure.field) == (code, field)
 
-    def test_that_are_no_json(self):
+    def test_text_other_than_json_is_refused(self):
         assert parse_node_settings(b"{").unwrap_err().code is Code.SETTINGS_NOT_JSON
 
-    def test_that_are_not_there(self, tmp_path):
-        failed = load_node_settings(tmp_path / "absent")
-        assert failed.unwrap_err().code is Code.SETTINGS_UNREADABLE
+    def test_a_missing_file_is_refused(self, tmp_path):
+        result = load_node_settings(tmp_path / "absent")
+        assert result.unwrap_err().code is Code.SETTINGS_UNREADABLE
