--- a/src/leadhollow/control/catalog_delta.py
+++ b/src/leadhollow/control/catalog_delta.py
@@ -51,7 +51,7 @@
         if packed is not None:
             return [], packed
         newer = [each for each in self._catalog.items_after(revision) if self._wants(role, each)]
-        if not takes_packed or len(newer) < FEWEST:
+        if not takes_packed or len(newer) < MIN_PACKED_ITEMS:
             return [encode_item(item) for item in newer], None
         packed = self._packed[key] = pack_items(newer)
         if len(self._packed) > MAX_CACHED_DELTAS:
--- a/src/leadhollow/control/entry_updates.py
+++ b/src/leadhollow/control/entry_updates.py
@@ -65,7 +65,7 @@
     def mark_everything_pending(self, entry: Subscriber) -> None:
         """Include everything that is known in the next update of an entry."""
         entry.uses.add(self._uses.engines(), (), _now_s())
-        entry.suspects = everything(self._suspects.table)
+        entry.suspects = all_records(self._suspects.table)
         entry.limits = self._limits.known_lives()
         entry.backoffs = self._self_reports.lives_in_backoff()
 
--- a/src/leadhollow/control/limit_relay.py
+++ b/src/leadhollow/control/limit_relay.py
@@ -177,7 +177,7 @@
         if changed:
             self._changed |= changed
             self._on_limits(changed)
-        room = max(0, MOST_REQUESTS - len(self._requests))
+        room = max(0, MAX_REQUESTS - len(self._requests))
         self._requests += [
             (message.address or "", request) for request in (message.requests or ())[:room]
         ]
--- a/src/leadhollow/control/registry.py
+++ b/src/leadhollow/control/registry.py
@@ -218,7 +218,7 @@
         remote = [
             count
             for count, heard_s in self._remote_entries.values()
-            if active_time.heard_since_s(heard_s) < ENTRIES_VALID_S
+            if active_time.active_since_s(heard_s) < ENTRIES_VALID_S
         ]
         return self.local_entries + sum(remote)
 
@@ -261,7 +261,7 @@
         self._announced_here_s = {
             instance: heard_s
             for instance, heard_s in self._announced_here_s.items()
-            if active_time.heard_since_s(heard_s) < self._local_valid_s
+            if active_time.active_since_s(heard_s) < self._local_valid_s
         }
         known = [self.table.get(instance) for instance in self._announced_here_s]
         return [instance for instance in known if instance is not None]
@@ -332,14 +332,14 @@
     def _expire(self) -> None:
         silent = [
             instance.instance
-            for instance in self.table.forget_silent(silence_s=active_time.heard_since_s)
+            for instance in self.table.forget_silent(silence_s=active_time.active_since_s)
         ]
         if silent:
             for listener in self._silence_listeners:
                 listener(silent)
         valid_s = load_valid_s(len(self._loads))
         for address, load in list(self._loads.items()):
-            if active_time.heard_since_s(load.reported_s) > valid_s:
+            if active_time.active_since_s(load.reported_s) > valid_s:
                 del self._loads[address]
 
 
--- a/src/leadhollow/control/replica_service.py
+++ b/src/leadhollow/control/replica_service.py
@@ -157,7 +157,7 @@
 
 def _directory_clock_s() -> float:
     """Return the active time plus suspensions, since others may be gone after a long suspension."""
-    return active_time.heard_s() + clocks.suspended_s()
+    return active_time.active_s() + clocks.suspended_s()
 
 
 __all__ = ["STATE_FOLDER", "ReplicaService"]
--- a/src/leadhollow/control/suspect_relay.py
+++ b/src/leadhollow/control/suspect_relay.py
@@ -138,7 +138,7 @@
     async def _on_query(
         self, query: SuspectQuery, connection: Connection
     ) -> Result[SuspectNews, Failure]:
-        return Ok(self._build_message(everything(self.table)))
+        return Ok(self._build_message(all_records(self.table)))
 
     async def _on_release(
         self, request: SuspectRelease, connection: Connection
@@ -149,7 +149,7 @@
         return Ok(Done())
 
     def _on_news(self, message: SuspectNews, connection: Connection) -> None:
-        merged = take_news(self.table, message, _now_s())
+        merged = merge_news(self.table, message, _now_s())
         if merged.is_err():
             log.warning("message on suspects rejected", failure=str(merged.unwrap_err()))
             return
@@ -214,7 +214,7 @@
         if now_s - self._full_table_sent_s.get(address, float("-inf")) < FULL_TABLE_INTERVAL_S:
             return
         self._full_table_sent_s[address] = now_s
-        self._peers.post(address, self._build_message(everything(self.table)))
+        self._peers.post(address, self._build_message(all_records(self.table)))
 
     async def _publish(self, *, whole: bool) -> None:
         """Send changes to the other replicas, or at a refresh the checksum of the table."""
--- a/src/leadhollow/control/use_aggregator.py
+++ b/src/leadhollow/control/use_aggregator.py
@@ -220,7 +220,7 @@
     async def _publish(self, *, whole: bool) -> None:
         """Send the sums over the entries that report to this replica to the other replicas."""
         if whole:
-            self.expire(silence_s=active_time.heard_since_s)
+            self.expire(silence_s=active_time.active_since_s)
         changed, self._changed = self._changed, set()
         if whole:
             changed = self._local_totals.addresses()
--- a/src/leadhollow/forward/exchange.py
+++ b/src/leadhollow/forward/exchange.py
@@ -186,7 +186,7 @@
             failure = Failure(code=withheld, detail=server.instance.instance)
             return Err(AttemptFailure(end=AttemptEnd.WITHHELD, failure=failure))
         limited_sent_s = None if server.send_limiter is None else clocks.elapsed_s()
-        sent_s = active_time.heard_s()
+        sent_s = active_time.active_s()
         exchange: Exchange | None = None
         sender: asyncio.Task[Result[None, Failure]] | None = None
         try:
@@ -224,7 +224,7 @@
 
     def _check_silence(self, address: str, connection: ClientConnection, sent_s: float) -> None:
         """Close the idle connections to a server if it was silent on a reused connection."""
-        silent_s = active_time.heard_s() - sent_s
+        silent_s = active_time.active_s() - sent_s
         if connection.exchange_count > 1 and connection.usable and silent_s > SILENT_CONNECTION_S:
             log.info(
                 "closed idle connections to a silent server",
--- a/src/leadhollow/forward/plain_forwarder.py
+++ b/src/leadhollow/forward/plain_forwarder.py
@@ -181,7 +181,7 @@
         first = loop.create_task(self._attempt(call, server))
         tasks = {first}
         try:
-            left_s = HEDGE_SHARE * call.route.objective_ms / 1000 - heard_since_s(call.received_s)
+            left_s = HEDGE_SHARE * call.route.objective_ms / 1000 - active_since_s(call.received_s)
             if self._may_hedge(call) and not await active_wait(tasks, max(0.0, left_s)):
                 second = self._choose_server(call, excluded)
                 if second is not None and self._budget.try_acquire(call.service):
--- a/src/leadhollow/forward/silence_monitor.py
+++ b/src/leadhollow/forward/silence_monitor.py
@@ -45,7 +45,7 @@
         self._timer.cancel()
 
     def _check(self) -> None:
-        now_s = active_time.heard_s()
+        now_s = active_time.active_s()
         since_s = max(self._last_received_s(), self._restarted_s)
         left_s = self._timeout_s() - (now_s - since_s)
         if left_s <= 0:
--- a/src/leadhollow/forward/stream_attempt.py
+++ b/src/leadhollow/forward/stream_attempt.py
@@ -114,7 +114,7 @@
         self._excluded = excluded
         self._health_updated = False  # whether the engine's health was updated
         self._failure_recorded = False
-        self.sent_s = active_time.heard_s()
+        self.sent_s = active_time.active_s()
         self.placement = placement
         self.source: EventSource | None = None
         self.failed_response: Exchange | None = None
@@ -139,7 +139,7 @@
         """
         call, placement = self._call, self.placement
         call.record_dispatch(self.instance)
-        self.sent_s = active_time.heard_s()
+        self.sent_s = active_time.active_s()
         dispatch = call.dispatch(
             instance=self.instance,
             version=placement.expected_version,
@@ -231,7 +231,7 @@
         server, now_s = self.placement.server, asyncio.get_running_loop().time()
         server.record_interruption(now_s)
         if self.placement.call.in_prefill:
-            lateness_ms = active_time.heard_since_s(self.placement.call.placed_s) * 1000
+            lateness_ms = active_time.active_since_s(self.placement.call.placed_s) * 1000
             lateness_ms -= self.placement.call.predicted_ms
             server.record_lateness(max(0.0, lateness_ms), now_s)
 
--- a/src/leadhollow/forward/suspect_sync.py
+++ b/src/leadhollow/forward/suspect_sync.py
@@ -128,7 +128,7 @@
             self._synced_replica = ""  # the replica may have restarted: send it a full update
             self.note_change()
         self._replica_checksum = int(update.mark or 0)
-        merged = take_news(self.table, update, now_s)
+        merged = merge_news(self.table, update, now_s)
         if merged.is_err():
             log.warning("suspect update rejected", failure=str(merged.unwrap_err()))
             return
@@ -156,7 +156,7 @@
         if source != self._synced_replica or (
             differs and now_s - self._full_update_s > FULL_UPDATE_INTERVAL_S
         ):
-            self._changed.merge(everything(self.table))
+            self._changed.merge(all_records(self.table))
             self._full_update_s = now_s
         if not self._changed:
             self._synced_replica = source
--- a/src/leadhollow/node/control_role.py
+++ b/src/leadhollow/node/control_role.py
@@ -41,12 +41,12 @@
         return service
 
     def make_confirmation() -> Service:
-        return Confirmation(gateway=replica().gateway)
+        return ConfirmationMonitor(gateway=replica().gateway)
 
     def make_ages() -> Service:
         return VersionAgeTracker(
             catalog=replica().replica.machine.catalog,
-            confirmation=kernel.get("confirmation", Confirmation),
+            confirmation=kernel.get("confirmation", ConfirmationMonitor),
         )
 
     def make_registry() -> Service:
@@ -75,7 +75,7 @@
             catalog=replica().replica.machine.catalog,
             registry=kernel.get("registry", Registry),
             uses=kernel.get("uses", UseAggregator),
-            confirmation=kernel.get("confirmation", Confirmation),
+            confirmation=kernel.get("confirmation", ConfirmationMonitor),
             replicas=replica().addresses_with_domains,
             handlers=process.handlers,
             naming_times=kernel.get("version-ages", VersionAgeTracker).times,
--- a/src/leadhollow/placement/allocator.py
+++ b/src/leadhollow/placement/allocator.py
@@ -70,7 +70,7 @@
     async def _handle_report(
         self, report: DemandReport, connection: Connection
     ) -> Result[ShareLease, Failure]:
-        now_s = heard_s()
+        now_s = active_s()
         self._applied.record(vm=report.vm, revision=report.applied_revision or 0, now_s=now_s)
         if not self._lease.valid:
             return Err(Failure(code=Code.ALLOCATOR_ABSENT))
--- a/src/leadhollow/staging/installer.py
+++ b/src/leadhollow/staging/installer.py
@@ -122,7 +122,7 @@
         self._naming_times = naming_times
         self._version_s = version_s
         self._may_switch = may_switch
-        self._started_s = heard_s()
+        self._started_s = active_s()
         self._stage_wait_s = FIRST_START_WAIT_S if first_start else RESTART_WAIT_S
         self._wake = asyncio.Event()
         self._idle = False  # whether the last step found nothing to do
@@ -172,7 +172,7 @@
             self._window.urgent = (
                 False  # not earlier: other stagers may still need pieces from here
             )
-        elif hurries(progress, held=held, version_s=self._version_s, now_s=now_s):
+        elif is_urgent(progress, held=held, version_s=self._version_s, now_s=now_s):
             self._window.urgent = True
         wanted = (
             self._store.find_or_create(named) for named in known if named.number in plan.fetch
@@ -222,7 +222,7 @@
         held = self._held(report, known)
         if held is None:
             return float("-inf")
-        return bound_s(progress, held, self._version_s)
+        return staleness_deadline_s(progress, held, self._version_s)
 
     def _held(self, report: EngineReport | None, known: list[NamedVersion]) -> int | None:
         return None if report is None else _complete_version(report, known)
@@ -267,7 +267,7 @@
 
     def _may_hold_stage(self) -> bool:
         """Return whether an engine that has not answered yet may already hold staged pieces."""
-        age_s = heard_s() - self._started_s
+        age_s = active_s() - self._started_s
         return not self._stage_recovered and age_s < self._stage_wait_s
 
     async def _install(self, staged: StagedVersion, deadline_s: float) -> None:
@@ -324,8 +324,8 @@
 
     async def _wait_loaded(self, staged: StagedVersion, sequence: int) -> None:
         loop = asyncio.get_running_loop()
-        began_s, ordered_s = loop.time(), heard_s()
-        while heard_s() - ordered_s < LOAD_TIMEOUT_S:
+        began_s, ordered_s = loop.time(), active_s()
+        while active_s() - ordered_s < LOAD_TIMEOUT_S:
             await asyncio.sleep(STEP_INTERVAL_S)
             report = await self._monitor.refresh()
             if report is None:
--- a/src/leadhollow/staging/link_monitor.py
+++ b/src/leadhollow/staging/link_monitor.py
@@ -75,10 +75,10 @@
             source = self._feed.source
             if not source:
                 continue
-            sent_s = heard_s()
+            sent_s = active_s()
             self._probe = _Probe(source=source, sent_s=sent_s)
             result = await self._peers.call(source, FeedProbe(self._vm), timeout_ms=TIMEOUT_MS)
-            self._probe.took_s = heard_s() - sent_s
+            self._probe.took_s = active_s() - sent_s
             self.record_probe(self._probe.took_s, lost=result.is_err())
 
     def delay_s(self) -> float:
@@ -92,7 +92,7 @@
             return self._last_delay_s
         if probe.took_s is not None:
             return probe.took_s
-        return max(self._last_delay_s, heard_s() - probe.sent_s)
+        return max(self._last_delay_s, active_s() - probe.sent_s)
 
     def record_probe(self, delay_s: float, *, lost: bool) -> None:
         """Adjust the share to the delay of a probe.
--- a/src/leadhollow/staging/piece_fetch.py
+++ b/src/leadhollow/staging/piece_fetch.py
@@ -150,7 +150,7 @@
         self._window = window
         self._origin_queue: asyncio.Queue[int] = asyncio.Queue()
         self._wake = asyncio.Event()
-        self._started_s = heard_s()
+        self._started_s = active_s()
         self._next_follow_s = 0.0
         self._unfollowed: list[Stager] = []  # take part, but their announcements are not needed
         self._own_rank = 0
@@ -159,7 +159,7 @@
         """Fetch until all pieces are held."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        self._started_s = heard_s()
+        self._started_s = active_s()
         tasks = [loop.create_task(self._read_origin()) for _ in range(ORIGIN_READERS)]
         tasks.append(loop.create_task(self._plan_repeatedly()))
         tasks.append(loop.create_task(self._report_progress()))
@@ -182,7 +182,7 @@
 
     def blocked(self) -> bool:
         """Return whether no stager holds some of the pieces and the origin does not answer."""
-        now_s = heard_s()
+        now_s = active_s()
         return self._selector.blocked(list(self.version.held.missing()), now_s)
 
     async def _report_progress(self) -> None:
@@ -215,7 +215,7 @@
 
     def _follow_stagers(self) -> None:
         """Follow the stagers whose announcements are needed, and drop those that are gone."""
-        now_s = heard_s()
+        now_s = active_s()
         if self._sources and now_s < self._next_follow_s:
             return
         self._next_follow_s = now_s + FOLLOW_INTERVAL_S
@@ -252,13 +252,13 @@
 
     def _knows_others(self) -> bool:
         """Return whether it is known who takes part; before that all would read from the origin."""
-        if heard_s() - self._started_s > CONNECT_GRACE_S:
+        if active_s() - self._started_s > CONNECT_GRACE_S:
             return True
         return bool(self._sources) and all(source.contacted for source in self._sources.values())
 
     def _plan(self) -> None:
         """Request missing pieces that are available, within the limits of the own link."""
-        now_s = heard_s()
+        now_s = active_s()
         if not self._stager_allowed() and not self._origin_allowed():
             return
         missing = [index for index in self.version.held.missing() if index not in self._requested]
@@ -273,7 +273,7 @@
     def _request_from_stager(self, index: int, source: PieceSource) -> None:
         if not self._stager_allowed():
             return
-        now_s = heard_s()
+        now_s = active_s()
         self._requested[index] = source
         self._requested_s[index] = now_s
         source.record_request(index, now_s)
@@ -282,7 +282,7 @@
     def _request_from_origin(self, index: int) -> None:
         if self._origin_allowed():
             if not self._pending_at_origin():
-                self._origin_progress_s = heard_s()
+                self._origin_progress_s = active_s()
             self._requested[index] = None
             self._origin_queue.put_nowait(index)
 
@@ -292,7 +292,7 @@
             return False
         at_origin = self._pending_at_origin()
         from_stagers = len(self._requested) - at_origin
-        silent_s = heard_s() - self._origin_progress_s
+        silent_s = active_s() - self._origin_progress_s
         from_origin = at_origin if silent_s < ORIGIN_SILENT_S else 0
         return self._window.allows_stager(from_stagers=from_stagers, from_origin=from_origin)
 
@@ -351,7 +351,7 @@
 
         This does not apply while the own link is slow, because then all sources are.
         """
-        now_s = heard_s()
+        now_s = active_s()
         overdue = now_s - self._requested_s[index] > SLOW_PIECE_S
         if not overdue or self._window.link_slow:
             return False
@@ -385,11 +385,11 @@
             self._own_rank,
             SLICE_PATIENCE_MS,
         )
-        sent_s = heard_s()
+        sent_s = active_s()
         result = await connected.unwrap().call(
             request, timeout_ms=SLICE_PATIENCE_MS + SLICE_TRANSFER_MS
         )
-        now_s = heard_s()
+        now_s = active_s()
         if result.is_err():
             self._record_failed_slice(source, index, result.unwrap_err(), now_s)
             return False
@@ -456,7 +456,7 @@
             index = await self._origin_queue.get()
             if index not in version.held:
                 data = await self._origin.piece(version.model, version.number, index)
-                now_s = heard_s()
+                now_s = active_s()
                 self._origin_progress_s = now_s
                 if data is None:
                     self._selector.record_origin_failure(now_s)
--- a/src/leadhollow/state/disk_thread.py
+++ b/src/leadhollow/state/disk_thread.py
@@ -27,7 +27,7 @@
         """Active time in seconds since the disk became busy; 0 if no work is pending."""
         if self._busy_since_s is None:
             return 0.0
-        return active_time.heard_s() - self._busy_since_s
+        return active_time.active_s() - self._busy_since_s
 
     async def run(self, work: Callable[[], DiskAnswer]) -> DiskAnswer:
         """Run work in the thread and wait for its result; a cancelled caller waits for it, too."""
@@ -35,7 +35,7 @@
         running = loop.run_in_executor(self._executor, work)
         self._pending += 1
         if self._busy_since_s is None:
-            self._busy_since_s = active_time.heard_s()
+            self._busy_since_s = active_time.active_s()
         running.add_done_callback(self._on_done)
         try:
             return await asyncio.shield(running)
@@ -45,7 +45,7 @@
 
     def _on_done(self, running: asyncio.Future[DiskAnswer]) -> None:
         self._pending -= 1
-        self._busy_since_s = active_time.heard_s() if self._pending else None
+        self._busy_since_s = active_time.active_s() if self._pending else None
 
     async def stop(self) -> None:
         """Wait for pending work without blocking the event loop, then stop the thread."""
--- a/src/leadhollow/state/election.py
+++ b/src/leadhollow/state/election.py
@@ -70,7 +70,7 @@
                 await state.recover()
                 continue
             if (
-                active_time.heard_s() - state.election_timer_reset_s < timeout_s
+                active_time.active_s() - state.election_timer_reset_s < timeout_s
                 or not self._may_campaign()
             ):
                 continue
@@ -186,7 +186,7 @@
         """
         state = self._state
         if not transfer and not await self._request_votes(state.term + 1, pre_vote=True):
-            state.election_timer_reset_s = active_time.heard_s()
+            state.election_timer_reset_s = active_time.active_s()
             return
         term = await state.transitions.run(lambda: self._start_candidacy(transfer=transfer))
         if term is None:
@@ -195,7 +195,7 @@
         if won and state.term == term and state.role is ReplicaRole.CANDIDATE:
             self._leadership.start()
         else:
-            state.election_timer_reset_s = active_time.heard_s()
+            state.election_timer_reset_s = active_time.active_s()
 
     async def _start_candidacy(self, *, transfer: bool) -> int | None:
         """Start a new term as candidate and vote for this replica.
--- a/src/leadhollow/state/following.py
+++ b/src/leadhollow/state/following.py
@@ -73,7 +73,7 @@
         vote = Vote(term=request.term, voted_for=request.candidate, voter=True)
         if not await state.save_vote(vote):
             return VoteReply(state.term, False)
-        state.election_timer_reset_s = active_time.heard_s()
+        state.election_timer_reset_s = active_time.active_s()
         return VoteReply(request.term, True)
 
     def _is_misaddressed(self, replica: str | None) -> bool:
@@ -179,7 +179,7 @@
                 return False
         if state.role is not ReplicaRole.FOLLOWER or state.leader_vm != leader:
             state.become_follower(leader)
-        state.election_timer_reset_s = active_time.heard_s()
+        state.election_timer_reset_s = active_time.active_s()
         state.leader_heard_s = now_s()
         return True
 
--- a/src/leadhollow/state/gateway.py
+++ b/src/leadhollow/state/gateway.py
@@ -49,10 +49,10 @@
         NO_MAJORITY
             Nothing was written.
         """
-        deadline_s = heard_s() + timeout_s
+        deadline_s = active_s() + timeout_s
         may_be_written = False
         while True:
-            left_s = deadline_s - heard_s()
+            left_s = deadline_s - active_s()
             if left_s <= 0:
                 code = Code.EDIT_UNKNOWN if may_be_written else Code.NO_MAJORITY
                 return Err(Failure(code=code))
@@ -74,14 +74,14 @@
         READ_UNCONFIRMED
             No leader with a majority answered in time, or this replica did not catch up in time.
         """
-        deadline_s = heard_s() + timeout_s
-        while heard_s() < deadline_s:
-            index = await self._read_index(deadline_s - heard_s())
+        deadline_s = active_s() + timeout_s
+        while active_s() < deadline_s:
+            index = await self._read_index(deadline_s - active_s())
             if index is None:
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             while self._replica.applied_index < index:
-                if heard_s() >= deadline_s:
+                if active_s() >= deadline_s:
                     return Err(Failure(code=Code.READ_UNCONFIRMED))
                 await asyncio.sleep(APPLY_POLL_S)
             return Ok(None)
--- a/src/leadhollow/state/leadership.py
+++ b/src/leadhollow/state/leadership.py
@@ -216,7 +216,7 @@
         if follower is None:
             log.info("learner added", replica=peer.replica, address=peer.address)
             follower = self._add_follower(peer)
-        follower.last_join_s = active_time.heard_s()
+        follower.last_join_s = active_time.active_s()
 
     def followers(self) -> list[FollowerProgress]:
         """Return the progress of the other replicas."""
@@ -229,7 +229,7 @@
         """
         follower = self._followers.get(replica)
         answered_s = 0.0 if follower is None else follower.acknowledged_active_s
-        return active_time.heard_s() - max(answered_s, self._active_since_s)
+        return active_time.active_s() - max(answered_s, self._active_since_s)
 
     async def transfer_leadership(self, timeout_s: float) -> bool:
         """Hand the lead over to a voter whose log is complete.
@@ -262,7 +262,7 @@
         state.role = ReplicaRole.LEADER
         state.leader_vm = state.vm
         self.since_s = now_s()
-        self._active_since_s = active_time.heard_s()
+        self._active_since_s = active_time.active_s()
         self._transferring = False
         self._followers = {}
         self._proposals = []
@@ -320,7 +320,7 @@
             if voter.replica not in self._followers:
                 self._add_follower(voter)
         for replica, follower in list(self._followers.items()):
-            joining = active_time.heard_s() - follower.last_join_s < LEARNER_TIMEOUT_S
+            joining = active_time.active_s() - follower.last_join_s < LEARNER_TIMEOUT_S
             if replica not in self._state.voters.current and not joining:
                 del self._followers[replica]
                 if follower.task is not None:
@@ -380,7 +380,7 @@
         """Replicate the log to one follower until the term ends."""
         while self._leads(term):
             wake = self._wake_followers
-            sent_s, sent_active_s = now_s(), active_time.heard_s()
+            sent_s, sent_active_s = now_s(), active_time.active_s()
             reply = await self._send(follower, term)
             if not self._leads(term):
                 return
@@ -448,7 +448,7 @@
 
     def _majority_silent(self, timeout_s: float) -> bool:
         """Return whether no majority has answered for an election timeout of active time."""
-        active_s = active_time.heard_s()
+        active_s = active_time.active_s()
         if active_s <= self._active_since_s + timeout_s:
             return False
         answered_s = self._majority_time_s(
--- a/src/leadhollow/state/replica.py
+++ b/src/leadhollow/state/replica.py
@@ -181,7 +181,7 @@
             state.commit_index = state.applied_index = state.store.snapshot.last_index
             state.restore_voters(state.store.snapshot)
         state.apply_voter_changes(state.store.entries)
-        state.election_timer_reset_s = active_time.heard_s()
+        state.election_timer_reset_s = active_time.active_s()
         state.leader_heard_s = now_s()
         start_task(self._tasks, self._election.run(empty_disk=state.store.never_used))
         start_task(self._tasks, self._apply_committed())
--- a/src/leadhollow/state/replica_state.py
+++ b/src/leadhollow/state/replica_state.py
@@ -232,7 +232,7 @@
         if written.is_err():
             return
         self.failed = False
-        self.election_timer_reset_s = active_time.heard_s()
+        self.election_timer_reset_s = active_time.active_s()
         log.warning(
             "disk recovered: replica takes part again",
             replica=self.vm,
--- a/src/leadhollow/wire/connection.py
+++ b/src/leadhollow/wire/connection.py
@@ -98,7 +98,7 @@
         """
         if self._partial_frame_s is None or self.closed.is_set():
             return None
-        return heard_s() - self._partial_frame_s
+        return active_s() - self._partial_frame_s
 
     async def drain(self) -> None:
         """Wait until the write buffer has room."""
@@ -151,9 +151,9 @@
         """Send a one-way message, which gets no response."""
         self.write(Frame(kind=FrameKind.ONEWAY, call_id=0, body=body))
 
-    def drop_stream(self, call_id: int, *, tell_peer: bool) -> None:
+    def drop_stream(self, call_id: int, *, notify_peer: bool) -> None:
         """Ignore the rest of a stream, and optionally cancel it at the peer."""
-        if self._streams.pop(call_id, None) is not None and tell_peer:
+        if self._streams.pop(call_id, None) is not None and notify_peer:
             self.write(Frame(kind=FrameKind.CANCEL, call_id=call_id))
 
     async def run(self) -> None:
@@ -163,7 +163,7 @@
             while data := await self._read():
                 buffer += data
                 failure = self._process_frames(buffer)
-                self._partial_frame_s = heard_s() if buffer else None
+                self._partial_frame_s = active_s() if buffer else None
                 if failure is not None:
                     log.warning("connection closed", peer=self.peer_name, failure=str(failure))
                     break
--- a/src/leadhollow/wire/streams.py
+++ b/src/leadhollow/wire/streams.py
@@ -76,7 +76,7 @@
         """Cancel the stream at the peer."""
         if not self._finished:
             self._finished = True
-            self._connection.drop_stream(self._call_id, tell_peer=True)
+            self._connection.drop_stream(self._call_id, notify_peer=True)
 
 
 class StreamSink:
--- a/tests/control/test_registry.py
+++ b/tests/control/test_registry.py
@@ -70,7 +70,7 @@
 
     @pytest.mark.parametrize("engines", [20, 53, 93, 650])
     def test_interval_bounds_the_total_report_rate(self, engines):
-        assert engines / report_interval_s(engines) <= REPORTS_PER_S
+        assert engines / report_interval_s(engines) <= MAX_REPORTS_PER_S
 
 
 class TestReportsOfManyEngines:
--- a/tests/membership/test_naming_times.py
+++ b/tests/membership/test_naming_times.py
@@ -79,7 +79,7 @@
         times.merge([VersionAge("m", 2, 5_000)])
         name_version(self.catalog, 2)
         assert policy.oldest_allowed("m") == 0
-        clock.now_s += VERSION_MS / 1000 - 5.0 - MARGIN_S + 0.01
+        clock.now_s += VERSION_MS / 1000 - 5.0 - SEND_MARGIN_S + 0.01
         assert policy.oldest_allowed("m") == 2
         assert policy.begin_by_s("m", 1) < 1_000.0 + 3.0
 
