--- a/src/leadhollow/bench/distribution.py
+++ b/src/leadhollow/bench/distribution.py
@@ -182,7 +182,7 @@
         cpu_s = self._fleet.farm_cpu_s() - cpu_before_s
         file_hash = hash_file(path)
         loads = [load for load in self._fleet.engines.loads if load.root == root]
-        origin_bytes = self._origin.weight_bytes("dispatch", version)
+        origin_bytes = self._origin.weight_bytes_sent("dispatch", version)
         lower_bound_s = model_bytes / self._link_bytes_per_s
         return Ok(
             Run(
--- a/src/leadhollow/bench/distribution_live.py
+++ b/src/leadhollow/bench/distribution_live.py
@@ -75,7 +75,7 @@
             rollout_p95_ms=loaded.p95_ms,
             live_latency_ratio=round(loaded.p95_ms / quiet.p95_ms, 3),
             rollout_time_s=round(rolled.unwrap(), 3),
-            origin_copies=round(stage.origin.weight_bytes(MODEL, "v2") / MODEL_BYTES, 4),
+            origin_copies=round(stage.origin.weight_bytes_sent(MODEL, "v2") / MODEL_BYTES, 4),
             elapsed_s=round(time.monotonic() - started_s, 2),
         )
     )
--- a/src/leadhollow/bench/requests.py
+++ b/src/leadhollow/bench/requests.py
@@ -18,7 +18,7 @@
 from leadhollow.failure import Failure
 from leadhollow.standin.caller import Caller, CallRecord
 from leadhollow.standin.engine_records import EngineFaults
-from leadhollow.standin.ledgers import compare
+from leadhollow.standin.ledgers import compare_ledgers
 from leadhollow.standin.plain_service import ServiceFaults
 
 ENTRIES = {"ifrane": 2, "azrou": 1, "midelt": 1}
@@ -355,7 +355,7 @@
     ) -> RequestsReport:
         records = [record for caller in self._callers.values() for record in caller.records]
         ledgers = [await self._stage.ledger(name) for name in self._stage.engine_urls]
-        verdict = compare(
+        verdict = compare_ledgers(
             records=records,
             generations=[run for ledger in ledgers for run in ledger.generations],
             executions=await self._stage.executions(),
--- a/src/leadhollow/cli/demo_command.py
+++ b/src/leadhollow/cli/demo_command.py
@@ -14,8 +14,8 @@
 from leadhollow.cli.loop import run_async
 from leadhollow.cli.output import print_failure, print_json, print_text
 from leadhollow.codes import Code
-from leadhollow.demo.report import DemoReport, readable
-from leadhollow.demo.story import Story
+from leadhollow.demo.demo_run import DemoRun
+from leadhollow.demo.report import DemoReport, format_report
 from leadhollow.failure import Failure
 from leadhollow.observe.logs import LogFormat, configure_command_logs
 
@@ -57,7 +57,7 @@
         if result.is_err():
             return print_failure(result.unwrap_err())
         report = result.unwrap()
-        print_text(readable(report))
+        print_text(format_report(report))
         if self.option("json"):
             print_json(report)
         return 0 if report.ok else Code.CHECK_FAILED.exit_code
@@ -80,7 +80,7 @@
 
 async def _tell(folder: Path, model_path: Path | None) -> Result[DemoReport, Failure] | None:
     """Run the story; Ctrl-C or SIGTERM stops it cleanly."""
-    story = Story(folder=folder, model_path=model_path, say=print_text)
+    story = DemoRun(folder=folder, model_path=model_path, on_progress=print_text)
     loop = asyncio.get_running_loop()
     task = loop.create_task(story.run())
     for number in (signal.SIGINT, signal.SIGTERM):
--- a/src/leadhollow/demo/story.py
+++ b/src/leadhollow/demo/demo_run.py
@@ -12,12 +12,12 @@
 from result import Err, Ok, Result
 
 from leadhollow.demo.model_file import make_model_file, make_next_version
-from leadhollow.demo.report import DemoReport, failures_of
+from leadhollow.demo.report import DemoReport, find_failures
 from leadhollow.failure import Failure
 from leadhollow.operator_client import OperatorClient
 from leadhollow.standin.caller import Caller, CallRecord
 from leadhollow.standin.engine_records import hash_file
-from leadhollow.standin.ledgers import compare
+from leadhollow.standin.ledgers import compare_ledgers
 from leadhollow.standin.site import Site, SitePlan
 from leadhollow.state.commands import RowEdit
 from leadhollow.state.records import Limits, ModelChoice, Row, ServiceRule
@@ -41,7 +41,7 @@
 Say = Callable[[str], None]
 
 
-class Story:
+class DemoRun:
     """One run of the demonstration.
 
     Parameters
@@ -70,10 +70,10 @@
         "_tokens",
     )
 
-    def __init__(self, *, folder: Path, model_path: Path | None, say: Say) -> None:
+    def __init__(self, *, folder: Path, model_path: Path | None, on_progress: Say) -> None:
         self._folder = folder
         self._model_path = model_path
-        self._say = say
+        self._say = on_progress
         self._site = Site(
             plan=SitePlan(entries=ENTRIES, engines=ENGINES, service=(SERVICE, "azrou")),
             folder=folder,
@@ -117,7 +117,7 @@
         if edited.is_err():
             return Err(edited.unwrap_err())
         time_to_all_s = await self._wait_all("v1")
-        weight_bytes = self._site.origin.weight_bytes(MODEL, "v1")
+        weight_bytes = self._site.origin.weight_bytes_sent(MODEL, "v1")
         origin_copies = weight_bytes / self._first_file().stat().st_size
         self._say(f"v1 runs on all 9 engines after {time_to_all_s:.2f} s.")
         await self._serve_groups()
@@ -131,7 +131,7 @@
         work_after_drain = await self._drain_backend_server()
         self._say("A backend server was drained.")
         records = [record for caller in self._callers.values() for record in caller.records]
-        verdict = compare(
+        verdict = compare_ledgers(
             records=records,
             generations=[
                 generation
@@ -146,7 +146,7 @@
             loads=[load for engine in self._site.engines.values() for load in engine.loads],
             file_hashes=self._file_hashes,
         )
-        failures = failures_of(
+        failures = find_failures(
             verdict=verdict,
             origin_copies=origin_copies,
             resend_same_answer=resend_same_answer,
@@ -260,7 +260,7 @@
         waiting = set(self._site.entry_urls())
         while waiting and loop.time() - started_s < EDIT_TIMEOUT_S:
             for url in list(waiting):
-                if await caller.probe(url, service=SERVICE) == expected_status:
+                if await caller.ping(url, service=SERVICE) == expected_status:
                     waiting.discard(url)
         elapsed_s = loop.time() - started_s
         edited = await editing
--- a/src/leadhollow/demo/report.py
+++ b/src/leadhollow/demo/report.py
@@ -34,7 +34,7 @@
     failures: tuple[str, ...]
 
 
-def failures_of(
+def find_failures(
     *,
     verdict: Verdict,
     origin_copies: float,
@@ -59,7 +59,7 @@
     return tuple(found)
 
 
-def readable(report: DemoReport) -> str:
+def format_report(report: DemoReport) -> str:
     """Render a report for a person."""
     rows = [
         ("Model on every engine after", f"{report.time_to_all_s:.2f} s"),
@@ -87,4 +87,4 @@
     return "\n".join(lines)
 
 
-__all__ = ["DemoReport", "failures_of", "readable"]
+__all__ = ["DemoReport", "find_failures", "format_report"]
--- a/src/leadhollow/standin/caller.py
+++ b/src/leadhollow/standin/caller.py
@@ -111,7 +111,7 @@
             record.correct = f'"echo": "{text}"' in record.received
         return record
 
-    async def probe(self, url: str, *, service: str) -> int:
+    async def ping(self, url: str, *, service: str) -> int:
         """Tell the HTTP status of a harmless call, without a record."""
         headers = {"Authorization": f"Bearer {self._key}"}
         try:
--- a/src/leadhollow/standin/engine.py
+++ b/src/leadhollow/standin/engine.py
@@ -20,7 +20,7 @@
     Load,
     LoadBody,
     hash_file,
-    seed_of,
+    token_seed,
     token_text,
 )
 from leadhollow.standin.http_server import StandinServer
@@ -233,7 +233,7 @@
         self.generations.append(generation)
         running = _Running(
             generation=generation,
-            seed=seed_of(self.root, body["messages"]),
+            seed=token_seed(self.root, body["messages"]),
             index=resumed_from,
             total=int(body.get("max_tokens") or DEFAULT_MAX_TOKENS),
             prefill_steps=self._prefill_steps(body["messages"]),
--- a/src/leadhollow/standin/engine_records.py
+++ b/src/leadhollow/standin/engine_records.py
@@ -71,7 +71,7 @@
     fence: int
 
 
-def seed_of(root: str, messages: list[dict[str, Any]]) -> str:
+def token_seed(root: str, messages: list[dict[str, Any]]) -> str:
     """Give what a version makes of a prompt: a short text that every token carries."""
     return str(blake3(root.encode() + msgspec.json.encode(messages)).hexdigest()[:8])
 
@@ -83,7 +83,7 @@
 
 def expected_text(root: str, messages: list[dict[str, Any]], tokens: int) -> str:
     """Give the whole answer that a version gives to a prompt."""
-    seed = seed_of(root, messages)
+    seed = token_seed(root, messages)
     return "".join(token_text(seed, index) for index in range(tokens))
 
 
@@ -112,6 +112,6 @@
     "execution_counts",
     "expected_text",
     "hash_file",
-    "seed_of",
+    "token_seed",
     "token_text",
 ]
--- a/src/leadhollow/standin/ledgers.py
+++ b/src/leadhollow/standin/ledgers.py
@@ -40,7 +40,7 @@
     false_not_executed: int
 
 
-def compare(
+def compare_ledgers(
     *,
     records: list[CallRecord],
     generations: list[Generation],
@@ -84,4 +84,4 @@
     return runs
 
 
-__all__ = ["Verdict", "compare"]
+__all__ = ["Verdict", "compare_ledgers"]
--- a/src/leadhollow/standin/origin.py
+++ b/src/leadhollow/standin/origin.py
@@ -56,7 +56,7 @@
         application.router.add_post("/admin/faults", self._set_faults)
         self.server = StandinServer(application=application)
 
-    def weight_bytes(self, model: str, version: str) -> int:
+    def weight_bytes_sent(self, model: str, version: str) -> int:
         """Bytes of a version's weights and manifest that were sent."""
         prefix = f"{model}/{version}/"
         return sum(size for path, size in self.bytes_by_path.items() if path.startswith(prefix))
--- a/src/leadhollow/standin/site.py
+++ b/src/leadhollow/standin/site.py
@@ -28,7 +28,7 @@
 OPERATOR_TOKEN = "loopback-operator-token"
 READY_TIMEOUT_S = 15.0
 POLL_S = 0.02
-ORIGIN_LINKS = 2  # the origin's link carries twice a machine's
+ORIGIN_LINK_FACTOR = 2  # the origin's link carries twice a machine's
 
 
 class SitePlan:
@@ -95,7 +95,7 @@
         self.settings: dict[str, Settings] = {}
         self.statsd = StatsdSink()
         self.origin = OriginStandin(
-            folder=folder / "origin", link_bytes_per_s=ORIGIN_LINKS * plan.link_bytes_per_s
+            folder=folder / "origin", link_bytes_per_s=ORIGIN_LINK_FACTOR * plan.link_bytes_per_s
         )
 
     @property
