--- a/src/leadhollow/demo/demo_run.py
+++ b/src/leadhollow/demo/demo_run.py
@@ -1,4 +1,9 @@
-"""The demonstration: one run through everything the system promises."""
+"""The demo run: starts a deployment with stand-ins, puts it under load and checks the outcome.
+
+``leadhollow demo`` runs it. It publishes and distributes a model, sends requests of several
+groups, edits the table, resends requests, changes the version under load, stops one backend server
+and drains another. Then it compares the callers' records with those of the stand-ins.
+"""
 
 from __future__ import annotations
 
@@ -24,72 +29,83 @@
 
 MODEL = "dispatch"
 SERVICE = "depot"
-ENTRIES = {"ifrane": 3, "azrou": 2, "midelt": 2}
-ENGINES = {"ifrane": 3, "azrou": 3, "midelt": 3}
-WEIGHTS = {"ploughs": 6.0, "gendarmerie": 3.0, "depot-clerks": 1.0}
+ENTRIES_BY_DOMAIN = {"ifrane": 3, "azrou": 2, "midelt": 2}
+ENGINES_BY_DOMAIN = {"ifrane": 3, "azrou": 3, "midelt": 3}
+GROUP_WEIGHTS = {"ploughs": 6.0, "gendarmerie": 3.0, "depot-clerks": 1.0}
 DEFAULT_MODEL_BYTES = 64 * 1024 * 1024
 MODEL_SEED = 33
 CALL_SEED = 7
-TOKENS = 24
-BURST = 60
+TOKENS_PER_CALL = 24
+BURST_CALLS = 60
 INSTALL_TIMEOUT_S = 12.0
 DRAIN_GRACE_S = 2.0
 OPERATOR = "demo"
 LATE_GROUP = "late-group"
 EDIT_TIMEOUT_S = 5.0
 
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 class DemoRun:
-    """One run of the demonstration.
+    """One demo run.
 
     Parameters
     ----------
     folder
-        Where all data lives.
+        Folder for the data of all processes and the origin.
     model_path
-        Model file of the first version; None makes one from a fixed seed.
-    say
-        Told what happens, for a person who watches.
+        Model file of the first version; None generates one from a fixed seed.
+    on_progress
+        Called with a sentence for the user after each step.
     """
 
     __slots__ = (
         "_callers",
         "_file_hashes",
         "_folder",
-        "_load_tasks",
         "_model_path",
+        "_on_progress",
         "_operator",
         "_random",
+        "_request_tasks",
         "_roots",
-        "_say",
         "_session",
         "_site",
-        "_steps",
+        "_step_failures",
         "_tokens",
     )
 
-    def __init__(self, *, folder: Path, model_path: Path | None, on_progress: Say) -> None:
+    def __init__(
+        self, *, folder: Path, model_path: Path | None, on_progress: ProgressCallback
+    ) -> None:
         self._folder = folder
         self._model_path = model_path
-        self._say = on_progress
+        self._on_progress = on_progress
         self._site = Site(
-            plan=SitePlan(entries=ENTRIES, engines=ENGINES, service=(SERVICE, "azrou")),
+            plan=SitePlan(
+                entries=ENTRIES_BY_DOMAIN, engines=ENGINES_BY_DOMAIN, service=(SERVICE, "azrou")
+            ),
             folder=folder,
         )
         self._random = random.Random(CALL_SEED)
         self._roots: dict[str, str] = {}
         self._file_hashes: dict[str, str] = {}
         self._callers: dict[str, Caller] = {}
-        self._steps: list[str] = []
-        self._load_tasks: set[asyncio.Task[CallRecord]] = set()
+        self._step_failures: list[str] = []
+        self._request_tasks: set[asyncio.Task[CallRecord]] = set()
         self._operator: OperatorClient | None = None
         self._session: aiohttp.ClientSession | None = None
-        self._tokens = TOKENS
+        self._tokens = TOKENS_PER_CALL
 
     async def run(self) -> Result[DemoReport, Failure]:
-        """Run the story; the site is stopped whatever happens."""
+        """Start the site, run all steps and report; stops the site also after a failure.
+
+        Returns
+        -------
+        Result[DemoReport, Failure]
+            The report, also where checks failed; a failure if the site or the first version could
+            not be set up.
+        """
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         self._session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
@@ -98,38 +114,40 @@
             if started.is_err():
                 return Err(started.unwrap_err())
             self._operator = self._site.operator()
-            return await self._tell(started_s)
+            return await self._run_steps(started_s)
         finally:
-            for task in self._load_tasks:
+            for task in self._request_tasks:
                 task.cancel()
-            await asyncio.gather(*self._load_tasks, return_exceptions=True)
+            await asyncio.gather(*self._request_tasks, return_exceptions=True)
             if self._operator is not None:
                 await self._operator.close()
             await self._session.close()
             await self._site.stop()
 
-    async def _tell(self, started_s: float) -> Result[DemoReport, Failure]:
-        published = await self._publish("v1", self._first_file())
+    async def _run_steps(self, started_s: float) -> Result[DemoReport, Failure]:
+        published = await self._publish("v1", self._first_model_file())
         if published.is_err():
             return Err(published.unwrap_err())
-        self._say("Three failure domains, 7 entry VMs and 10 backend servers are up; v1 published.")
+        self._on_progress(
+            "Three failure domains, 7 entry VMs and 10 backend servers are up; v1 published."
+        )
         edited = await self._write_rows("v1")
         if edited.is_err():
             return Err(edited.unwrap_err())
-        time_to_all_s = await self._wait_all("v1")
+        time_to_all_s = await self._wait_for_version("v1")
         weight_bytes = self._site.origin.weight_bytes_sent(MODEL, "v1")
-        origin_copies = weight_bytes / self._first_file().stat().st_size
-        self._say(f"v1 runs on all 9 engines after {time_to_all_s:.2f} s.")
-        await self._serve_groups()
-        edit_in_force_s = await self._edit_seen_by_callers()
-        self._say(f"An edit is in force at all 7 entries after {edit_in_force_s:.3f} s.")
-        resend_same_answer = await self._resend_order()
+        origin_copies = weight_bytes / self._first_model_file().stat().st_size
+        self._on_progress(f"v1 runs on all 9 engines after {time_to_all_s:.2f} s.")
+        await self._send_group_requests()
+        edit_in_force_s = await self._measure_edit_delay()
+        self._on_progress(f"An edit is in force at all 7 entries after {edit_in_force_s:.3f} s.")
+        resend_same_answer = await self._resend_orders()
         change_to_all_s = await self._change_version()
-        self._say(f"v2 replaced v1 under load after {change_to_all_s:.2f} s.")
-        await self._lose_backend_server()
-        self._say("A backend server was lost with streams in progress.")
+        self._on_progress(f"v2 replaced v1 under load after {change_to_all_s:.2f} s.")
+        await self._stop_backend_server()
+        self._on_progress("A backend server was lost with streams in progress.")
         work_after_drain = await self._drain_backend_server()
-        self._say("A backend server was drained.")
+        self._on_progress("A backend server was drained.")
         records = [record for caller in self._callers.values() for record in caller.records]
         verdict = compare_ledgers(
             records=records,
@@ -151,7 +169,7 @@
             origin_copies=origin_copies,
             resend_same_answer=resend_same_answer,
             work_after_drain=work_after_drain,
-            steps=self._steps,
+            step_failures=self._step_failures,
         )
         resumed = sum(
             1
@@ -184,9 +202,9 @@
             )
         )
 
-    # Steps.
+    # Steps of the run.
 
-    def _first_file(self) -> Path:
+    def _first_model_file(self) -> Path:
         if self._model_path is not None:
             return self._model_path
         path = self._folder / "model-v1.bin"
@@ -195,7 +213,7 @@
         return path
 
     async def _publish(self, version: str, path: Path) -> Result[None, Failure]:
-        published = await self._client().publish(
+        published = await self._require_operator().publish(
             path, model=MODEL, version=version, origin_url=self._site.origin.server.url
         )
         if published.is_err():
@@ -206,7 +224,7 @@
         return Ok(None)
 
     async def _write_rows(self, version: str) -> Result[None, Failure]:
-        current = await self._client().rows()
+        current = await self._require_operator().rows()
         if current.is_err():
             return Err(current.unwrap_err())
         revisions = {reply.row.group: reply.revision for reply in current.unwrap()}
@@ -216,47 +234,53 @@
                 expected_revision=revisions.get(group, 0),
                 row=_row(group, weight, version),
             )
-            for group, weight in WEIGHTS.items()
+            for group, weight in GROUP_WEIGHTS.items()
         ]
-        edited = await self._client().edit(edits, operator=OPERATOR, wait_ms=5_000)
+        edited = await self._require_operator().edit(edits, operator=OPERATOR, wait_ms=5_000)
         if edited.is_err():
             return Err(edited.unwrap_err())
-        for group in WEIGHTS:
-            self._callers.setdefault(group, self._caller(group))
+        for group in GROUP_WEIGHTS:
+            self._callers.setdefault(group, self._make_caller(group))
         return Ok(None)
 
-    async def _wait_all(self, version: str) -> float:
+    async def _wait_for_version(self, version: str) -> float:
         names = [name for name in self._site.engines if name in self._site.processes]
         waited = await self._site.wait_serving(
             self._roots[version], names, timeout_s=INSTALL_TIMEOUT_S
         )
         if waited.is_err():
-            self._steps.append(f"{version}: {waited.unwrap_err()}")
+            self._step_failures.append(f"{version}: {waited.unwrap_err()}")
             return INSTALL_TIMEOUT_S
         return waited.unwrap()
 
-    async def _serve_groups(self) -> None:
-        """Requests of all groups, then a burst of one beside them."""
+    async def _send_group_requests(self) -> None:
+        """Send requests of all groups together with a burst of one group."""
         await asyncio.sleep(0.3)
-        steady = [self._chat(group) for group in WEIGHTS for _ in range(12)]
-        burst = [self._chat("depot-clerks") for _ in range(BURST)]
+        steady = [self._chat(group) for group in GROUP_WEIGHTS for _ in range(12)]
+        burst = [self._chat("depot-clerks") for _ in range(BURST_CALLS)]
         await asyncio.gather(*steady, *burst)
 
-    async def _edit_seen_by_callers(self) -> float:
-        """Add a group and remove it again; give the longer time until every entry obeys."""
+    async def _measure_edit_delay(self) -> float:
+        """Add a group and remove it again.
+
+        Returns
+        -------
+        float
+            The longer of the two times, in seconds, until every entry applied the edit.
+        """
         row = _row(LATE_GROUP, 1.0, "v1")
         added_s = await self._time_edit(row, revision=0, expected_status=200)
-        found = await self._client().row(LATE_GROUP)
+        found = await self._require_operator().row(LATE_GROUP)
         revision = found.unwrap().revision if found.is_ok() else 0
         removed_s = await self._time_edit(None, revision=revision, expected_status=401)
         return max(added_s, removed_s)
 
     async def _time_edit(self, row: Row | None, *, revision: int, expected_status: int) -> float:
-        caller = self._caller(LATE_GROUP)
+        caller = self._make_caller(LATE_GROUP)
         edit = RowEdit(group=LATE_GROUP, expected_revision=revision, row=row)
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        editing = loop.create_task(self._client().edit([edit], operator=OPERATOR))
+        editing = loop.create_task(self._require_operator().edit([edit], operator=OPERATOR))
         waiting = set(self._site.entry_urls())
         while waiting and loop.time() - started_s < EDIT_TIMEOUT_S:
             for url in list(waiting):
@@ -265,11 +289,22 @@
         elapsed_s = loop.time() - started_s
         edited = await editing
         if waiting or edited.is_err():
-            self._steps.append("an accepted edit was not in force at every entry within 5 s")
+            self._step_failures.append(
+                "an accepted edit was not in force at every entry within 5 s"
+            )
         return elapsed_s
 
-    async def _resend_order(self) -> bool:
-        """Send one order twice by the same key through two entries, and one whose link is cut."""
+    async def _resend_orders(self) -> bool:
+        """Send orders twice with the same idempotency key, through different entries.
+
+        The service stand-in runs the second order and cuts its connection. Its outcome must be
+        unknown both times.
+
+        Returns
+        -------
+        bool
+            Whether the resend of the first order got the same response.
+        """
         urls = self._site.entry_urls()
         caller = self._callers["ploughs"]
         first = await caller.order(urls[0], service=SERVICE, text="clear N8", key="order-1")
@@ -279,90 +314,92 @@
         cut = await caller.order(urls[1], service=SERVICE, text="clear N13", key="order-2")
         again = await caller.order(urls[2], service=SERVICE, text="clear N13", key="order-2")
         if (cut.outcome, again.outcome) != ("unknown", "unknown"):
-            self._steps.append(f"a cut order was told as {cut.outcome}, then {again.outcome}")
+            self._step_failures.append(
+                f"a cut order was told as {cut.outcome}, then {again.outcome}"
+            )
         return first.status == 200 and first.received == second.received
 
     async def _change_version(self) -> float:
-        """Publish and roll out v2 while requests run."""
+        """Publish and roll out v2 under load; return the seconds until all engines run it."""
         second = self._folder / "model-v2.bin"
-        await asyncio.to_thread(make_next_version, self._first_file(), second)
+        await asyncio.to_thread(make_next_version, self._first_model_file(), second)
         published = await self._publish("v2", second)
         if published.is_err():
-            self._steps.append(f"v2 was not published: {published.unwrap_err()}")
+            self._step_failures.append(f"v2 was not published: {published.unwrap_err()}")
             return 0.0
         load = asyncio.get_running_loop().create_task(self._background_load())
         edited = await self._write_rows("v2")
         if edited.is_err():
-            self._steps.append(f"v2 was not accepted: {edited.unwrap_err()}")
-        elapsed_s = await self._wait_all("v2")
+            self._step_failures.append(f"v2 was not accepted: {edited.unwrap_err()}")
+        elapsed_s = await self._wait_for_version("v2")
         load.cancel()
         await asyncio.gather(load, return_exceptions=True)
-        await self._finish_load()
+        await self._finish_requests()
         return elapsed_s
 
-    async def _lose_backend_server(self) -> None:
-        """Kill an engine and the process beside it while streams run there."""
-        calls = [self._start_chat(group, tokens=60) for group in WEIGHTS for _ in range(6)]
+    async def _stop_backend_server(self) -> None:
+        """Kill the engine with the most running requests, and its VM's process."""
+        calls = [self._start_chat(group, tokens=60) for group in GROUP_WEIGHTS for _ in range(6)]
         await asyncio.sleep(0.3)
-        lost = max(self._site.engines, key=self._running)
+        lost = max(self._site.engines, key=self._count_running)
         await self._site.engines[lost].stop()
         await self._site.kill_process(lost)
         await asyncio.gather(*calls)
 
     async def _drain_backend_server(self) -> int:
-        """Drain an engine under load; count the requests that reach it after the grace time."""
+        """Drain an engine under load; count the requests that reach it after the grace period."""
         drained = next(name for name in self._site.engines if name in self._site.processes)
         load = asyncio.get_running_loop().create_task(self._background_load())
         await asyncio.sleep(0.3)
-        ordered = await self._client().drain(drained, draining=True, operator=OPERATOR)
+        ordered = await self._require_operator().drain(drained, draining=True, operator=OPERATOR)
         if ordered.is_err():
-            self._steps.append(f"the drain was not accepted: {ordered.unwrap_err()}")
+            self._step_failures.append(f"the drain was not accepted: {ordered.unwrap_err()}")
         await asyncio.sleep(DRAIN_GRACE_S)
         before = len(self._site.engines[drained].generations)
         await asyncio.sleep(1.0)
         after = len(self._site.engines[drained].generations)
         load.cancel()
         await asyncio.gather(load, return_exceptions=True)
-        await self._finish_load()
+        await self._finish_requests()
         return after - before
 
-    # Load.
+    # Requests of the callers.
 
     async def _background_load(self) -> None:
-        groups = list(WEIGHTS)
+        groups = list(GROUP_WEIGHTS)
         while True:
             self._start_chat(self._random.choice(groups), tokens=self._tokens)
             await asyncio.sleep(0.04)
 
     def _start_chat(self, group: str, *, tokens: int) -> asyncio.Task[CallRecord]:
         task = asyncio.get_running_loop().create_task(self._chat(group, tokens=tokens))
-        self._load_tasks.add(task)
-        task.add_done_callback(self._load_tasks.discard)
+        self._request_tasks.add(task)
+        task.add_done_callback(self._request_tasks.discard)
         return task
 
-    async def _chat(self, group: str, *, tokens: int = TOKENS) -> CallRecord:
+    async def _chat(self, group: str, *, tokens: int = TOKENS_PER_CALL) -> CallRecord:
         url = self._random.choice(self._site.entry_urls())
         return await self._callers[group].chat(
             url, model=MODEL, tokens=tokens, stream=self._random.random() < 0.7
         )
 
-    async def _finish_load(self) -> None:
-        await asyncio.gather(*self._load_tasks)
+    async def _finish_requests(self) -> None:
+        await asyncio.gather(*self._request_tasks)
 
-    def _running(self, name: str) -> int:
+    def _count_running(self, name: str) -> int:
         return sum(
             1
             for generation in self._site.engines[name].generations
             if not generation.finished and generation.generated
         )
 
-    def _caller(self, group: str) -> Caller:
+    def _make_caller(self, group: str) -> Caller:
         if self._session is None:
             message = "the story has not begun"
             raise RuntimeError(message)
         return Caller(group=group, key=_api_key(group), roots=self._roots, session=self._session)
 
-    def _client(self) -> OperatorClient:
+    def _require_operator(self) -> OperatorClient:
         if self._operator is None:
             message = "the story has not begun"
             raise RuntimeError(message)
@@ -384,4 +421,4 @@
     )
 
 
-__all__ = ["Story"]
+__all__ = ["DemoRun"]
--- a/src/leadhollow/demo/report.py
+++ b/src/leadhollow/demo/report.py
@@ -1,4 +1,4 @@
-"""What the demonstration found, for a person and as one object."""
+"""Report of a demo run: its figures, the checks on them and a table for the terminal."""
 
 from __future__ import annotations
 
@@ -6,11 +6,35 @@
 
 from leadhollow.standin.ledgers import Verdict
 
-MAXIMUM_ORIGIN_COPIES = 2.0
+MAX_ORIGIN_COPIES = 2.0
 
 
 class DemoReport(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of one run."""
+    """Figures of one demo run; ``leadhollow demo --json`` prints it as JSON.
+
+    Parameters
+    ----------
+    ok
+        Whether no check failed.
+    origin_copies
+        Bytes of the first version that the origin sent, divided by the size of its model file.
+    time_to_all_s
+        Seconds until the first version ran on every engine.
+    change_to_all_s
+        Seconds until the second version ran on every live engine.
+    edit_in_force_s
+        Longer of the two times until every entry applied an added and a removed group.
+    resend_same_answer
+        Whether a request sent twice with one idempotency key got the same response.
+    resumed_streams
+        Runs that engines started in the middle of a response.
+    work_after_drain
+        Requests that reached the drained backend server after the grace period.
+    metrics_received
+        Lines that the statsd stand-in received.
+    failures
+        Failed checks, as text.
+    """
 
     ok: bool
     origin_copies: float
@@ -40,27 +64,33 @@
     origin_copies: float,
     resend_same_answer: bool,
     work_after_drain: int,
-    steps: list[str],
+    step_failures: list[str],
 ) -> tuple[str, ...]:
-    """Name every promise that the records show as broken."""
-    found = list(steps)
+    """List the checks that failed.
+
+    Parameters
+    ----------
+    step_failures
+        Failures that the steps of the run reported themselves; they come first.
+    """
+    failures = list(step_failures)
     for name in ("lost", "doubled", "wrong_answers", "mixed_versions", "false_not_executed"):
         count = getattr(verdict, name)
         if count:
-            found.append(f"{name}: {count}")
+            failures.append(f"{name}: {count}")
     if not verdict.executed:
-        found.append("no request was executed")
-    if origin_copies > MAXIMUM_ORIGIN_COPIES:
-        found.append(f"origin_copies: {origin_copies:.2f}")
+        failures.append("no request was executed")
+    if origin_copies > MAX_ORIGIN_COPIES:
+        failures.append(f"origin_copies: {origin_copies:.2f}")
     if not resend_same_answer:
-        found.append("the resent call did not get the first answer")
+        failures.append("the resent call did not get the first answer")
     if work_after_drain:
-        found.append(f"work after drain: {work_after_drain}")
-    return tuple(found)
+        failures.append(f"work after drain: {work_after_drain}")
+    return tuple(failures)
 
 
 def format_report(report: DemoReport) -> str:
-    """Render a report for a person."""
+    """Format a report as a table for the terminal."""
     rows = [
         ("Model on every engine after", f"{report.time_to_all_s:.2f} s"),
         ("Copies read from the origin", f"{report.origin_copies:.3f}"),
--- a/src/leadhollow/standin/caller.py
+++ b/src/leadhollow/standin/caller.py
@@ -1,4 +1,4 @@
-"""Stand-in of a caller: sends calls, reads the answers and keeps a ledger."""
+"""Stand-in for a caller: sends requests, checks the responses and records each of them."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 
 
 class CallRecord(msgspec.Struct, kw_only=True):
-    """What one caller saw of one call.
+    """What a caller observed of one request.
 
     Parameters
     ----------
     outcome
-        As told; empty where the connection ended without a word.
+        Outcome that the response states; empty if the connection ended without one.
     superseded
-        Whether the caller sent it again after the connection ended without a word.
+        Whether the caller sent the request again after the connection ended without an outcome.
     correct
-        Whether the answer is whole and the caller's own; None where it was told of a failure.
+        Whether the response is complete and belongs to this request; None unless the outcome is
+        that the request was executed.
     """
 
     group: str
@@ -52,15 +53,18 @@
 
 
 class Caller:
-    """Calls of one group.
+    """Sends requests of one group.
 
     Parameters
     ----------
+    key
+        API key of the group.
     roots
-        Root of each published version, by version name; grows as versions are published.
+        Root hash of each published version, by version name. The owner adds versions as it
+        publishes them.
     """
 
-    __slots__ = ("_group", "_key", "_numbers", "_roots", "_session", "records")
+    __slots__ = ("_call_numbers", "_group", "_key", "_roots", "_session", "records")
 
     def __init__(
         self, *, group: str, key: str, roots: dict[str, str], session: aiohttp.ClientSession
@@ -69,7 +73,7 @@
         self._key = key
         self._roots = roots
         self._session = session
-        self._numbers = itertools.count()
+        self._call_numbers = itertools.count()
         self.records: list[CallRecord] = []
 
     async def chat(
@@ -82,8 +86,8 @@
         stream: bool = True,
         deadline_ms: int = 0,
     ) -> CallRecord:
-        """Send one model call and check its whole answer."""
-        text = f"{prompt}call {next(self._numbers)} of {self._group}"
+        """Send one model request and compare the response with the expected text."""
+        text = f"{prompt}call {next(self._call_numbers)} of {self._group}"
         messages = [{"role": "user", "content": text}]
         body = {"model": model, "messages": messages, "max_tokens": tokens, "stream": stream}
         record = CallRecord(group=self._group, repeatable=True)
@@ -97,7 +101,7 @@
     async def order(
         self, url: str, *, service: str, text: str, key: str = "", repeatable: bool = False
     ) -> CallRecord:
-        """Send one call of a plain service that may not be repeated."""
+        """Send one request to a plain service; by default it must not be executed twice."""
         record = CallRecord(group=self._group, repeatable=repeatable, key=key)
         headers = {"Content-Type": "text/plain"}
         if key:
@@ -112,7 +116,7 @@
         return record
 
     async def ping(self, url: str, *, service: str) -> int:
-        """Tell the HTTP status of a harmless call, without a record."""
+        """Return the HTTP status of a GET request, or 0 without a response; records nothing."""
         headers = {"Authorization": f"Bearer {self._key}"}
         try:
             async with self._session.get(
@@ -143,43 +147,43 @@
                 if response.content_type == "text/event-stream":
                     await _read_events(response, record)
                 else:
-                    await _read_whole(response, record)
+                    await _read_body(response, record)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             record.error = repr(error)
         record.ended_s = loop.time()
 
 
-async def _read_whole(response: aiohttp.ClientResponse, record: CallRecord) -> None:
+async def _read_body(response: aiohttp.ClientResponse, record: CallRecord) -> None:
     data = await response.read()
     record.outcome = response.headers.get(OUTCOME_HEADER, "")
     record.code = int(response.headers.get(CODE_HEADER, "-1"))
     record.version = response.headers.get(VERSION_HEADER, "")
     record.received = data.decode(errors="replace")
     if record.outcome == Outcome.EXECUTED and record.version:
-        answer = msgspec.json.decode(data)
-        record.received = answer["choices"][0]["message"]["content"]
+        completion = msgspec.json.decode(data)
+        record.received = completion["choices"][0]["message"]["content"]
 
 
 async def _read_events(response: aiohttp.ClientResponse, record: CallRecord) -> None:
     loop = asyncio.get_running_loop()
-    parts = []
-    kind = ""
-    async for raw in response.content:
-        line = raw.decode().strip()
+    tokens = []
+    event_type = ""
+    async for raw_line in response.content:
+        line = raw_line.decode().strip()
         if line.startswith("event: "):
-            kind = line.removeprefix("event: ")
+            event_type = line.removeprefix("event: ")
         elif line.startswith("data: {"):
             event = msgspec.json.decode(line.removeprefix("data: "))
-            if kind == "outcome":
+            if event_type == "outcome":
                 record.outcome, record.code = event["outcome"], event["code"]
                 record.version = event["version"]
-            elif kind == "error":
+            elif event_type == "error":
                 record.outcome, record.code = event["error"]["outcome"], event["error"]["code"]
             else:
                 record.first_token_s = record.first_token_s or loop.time()
-                parts.append(event["choices"][0]["delta"]["content"])
-            kind = ""
-    record.received = "".join(parts)
+                tokens.append(event["choices"][0]["delta"]["content"])
+            event_type = ""
+    record.received = "".join(tokens)
 
 
 __all__ = ["CallRecord", "Caller"]
--- a/src/leadhollow/standin/engine.py
+++ b/src/leadhollow/standin/engine.py
@@ -1,4 +1,7 @@
-"""Stand-in of a model engine: continuous batching, prefix cache, orders with fencing numbers."""
+"""Stand-in for a model engine.
+
+It simulates continuous batching, a prefix cache and load orders with fencing numbers.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 CHARACTERS_PER_TOKEN = 4
 
 
-class _Running:
+class _Completion:
     __slots__ = ("generation", "index", "prefill_steps", "queue", "seed", "total")
 
     def __init__(
@@ -46,33 +49,34 @@
 
 
 class EngineStandin:
-    """One engine behind HTTP.
+    """Model engine with an HTTP interface.
 
     Parameters
     ----------
     step_ms
-        Time of one step; each step gives every running request one token.
+        Duration of one step in milliseconds. A step generates one token of every running request
+        that has finished its prefill.
     batch
-        Requests that run at once; further ones wait by priority.
+        Maximum number of running requests; further ones wait in order of priority.
     prefill_tokens_per_step
-        Prompt tokens worked off in one step, for the part that is not cached.
+        Prompt tokens that one step processes; cached ones need no step.
     checks_fencing
-        Whether orders with an old number are refused.
+        Whether load orders with an outdated fencing number are refused.
     """
 
     __slots__ = (
+        "_arrival_numbers",
         "_batch",
         "_cache",
         "_checks_fencing",
-        "_fence",
+        "_last_fence",
         "_loading",
-        "_order",
         "_prefill_tokens_per_step",
         "_running",
         "_step_ms",
-        "_task",
+        "_step_task",
         "_waiting",
-        "_wake",
+        "_work_added",
         "cache_hits",
         "cache_misses",
         "events",
@@ -96,14 +100,14 @@
         self._batch = batch
         self._prefill_tokens_per_step = prefill_tokens_per_step
         self._checks_fencing = checks_fencing
-        self._fence = 0
+        self._last_fence = 0
         self._loading = False
-        self._running: list[_Running] = []
-        self._waiting: list[tuple[int, int, _Running]] = []
-        self._order = itertools.count()
+        self._running: list[_Completion] = []
+        self._waiting: list[tuple[int, int, _Completion]] = []
+        self._arrival_numbers = itertools.count()
         self._cache: OrderedDict[str, None] = OrderedDict()
-        self._wake = asyncio.Event()
-        self._task: asyncio.Task[None] | None = None
+        self._work_added = asyncio.Event()
+        self._step_task: asyncio.Task[None] | None = None
         self.cache_hits = 0
         self.cache_misses = 0
         self.events: list[dict[str, str]] = []
@@ -116,54 +120,54 @@
 
     @property
     def root(self) -> str:
-        """Root of the version that runs."""
+        """Root hash of the loaded version; empty without a model."""
         return self.loads[-1].root if self.loads and self.model else ""
 
     async def start(self, port: int = 0) -> None:
-        """Listen and begin to step."""
+        """Start the HTTP server and the step loop."""
         await self.server.start(port)
-        self._task = asyncio.get_running_loop().create_task(self._step_forever())
+        self._step_task = asyncio.get_running_loop().create_task(self._run_steps())
 
     async def stop(self) -> None:
-        """Stop at once; running requests are cut."""
-        if self._task is not None:
-            self._task.cancel()
-        for running in self._running:
-            running.queue.put_nowait(None)
+        """Stop at once and cut the running requests."""
+        if self._step_task is not None:
+            self._step_task.cancel()
+        for completion in self._running:
+            completion.queue.put_nowait(None)
         await self.server.stop()
 
     def _application(self) -> web.Application:
         application = web.Application(client_max_size=64 * 1024 * 1024)
         router = application.router
         router.add_get("/admin/model", self._get_model)
-        router.add_post("/admin/load", self._load)
+        router.add_post("/admin/load", self._load_version)
         router.add_post("/admin/faults", self._set_faults)
         router.add_get("/admin/events", self._get_events)
-        router.add_get("/admin/report", self._report)
-        router.add_get("/admin/ledger", self._ledger)
+        router.add_get("/admin/report", self._get_report)
+        router.add_get("/admin/ledger", self._get_ledger)
         router.add_post("/v1/chat/completions", self._complete)
         router.add_delete("/v1/requests/{request_id}", self._cancel)
         router.add_get("/v1/kv", self._export_cache)
         router.add_put("/v1/kv", self._import_cache)
         return application
 
-    # Orders.
+    # Administration.
 
     async def _get_model(self, request: web.Request) -> web.Response:
         if self.faults.dead and request.transport is not None:
             request.transport.abort()
         return web.json_response({"model": self.model, "version": self.version, "root": self.root})
 
-    async def _load(self, request: web.Request) -> web.Response:
+    async def _load_version(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=LoadBody)
         if self.faults.dead and request.transport is not None:
             request.transport.abort()
             return web.Response(status=500)
-        if self._checks_fencing and order.fence < self._fence:
+        if self._checks_fencing and order.fence < self._last_fence:
             return web.json_response({"error": "old fencing number"}, status=409)
         if self.faults.refuse_loads:
             return web.json_response({"error": "refused"}, status=500)
-        self._fence = max(self._fence, order.fence)
+        self._last_fence = max(self._last_fence, order.fence)
         self._loading = True
         try:
             file_hash = await asyncio.to_thread(hash_file, Path(order.path))
@@ -179,18 +183,18 @@
     async def _set_faults(self, request: web.Request) -> web.Response:
         self.faults = msgspec.json.decode(await request.read(), type=EngineFaults)
         if self.faults.dead:
-            for running in self._running:
-                running.queue.put_nowait(None)
+            for completion in self._running:
+                completion.queue.put_nowait(None)
             self._running.clear()
             self.model = ""
         return web.Response(status=204)
 
-    async def _report(self, request: web.Request) -> web.Response:
+    async def _get_report(self, request: web.Request) -> web.Response:
         return web.json_response(
             {"running": len(self._running), "waiting": len(self._waiting), "batch": self._batch}
         )
 
-    async def _ledger(self, request: web.Request) -> web.Response:
+    async def _get_ledger(self, request: web.Request) -> web.Response:
         ledger = EngineLedger(
             generations=self.generations,
             loads=self.loads,
@@ -201,17 +205,18 @@
 
     async def _get_events(self, request: web.Request) -> web.Response:
         events, self.events = self.events, []
-        return web.json_response(events[::2])  # half of them never arrive
+        # Every second event is dropped, as if lost on the way.
+        return web.json_response(events[::2])
 
     async def _export_cache(self, request: web.Request) -> web.Response:
         return web.json_response(list(self._cache))
 
     async def _import_cache(self, request: web.Request) -> web.Response:
         for prefix in msgspec.json.decode(await request.read(), type=list[str]):
-            self._remember(prefix)
+            self._cache_prefix(prefix)
         return web.Response(status=204)
 
-    # Requests.
+    # Completions.
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         body = msgspec.json.decode(await request.read())
@@ -219,31 +224,31 @@
             request.transport.abort()
         if not self.model or self._loading:
             return web.json_response({"error": "no model is loaded"}, status=503)
-        running = self._admit(request.headers.get("X-Request-Id", ""), body)
+        completion = self._enqueue(request.headers.get("X-Request-Id", ""), body)
         try:
             if body.get("stream"):
-                return await self._stream(request, running)
-            return await self._whole(running)
+                return await self._respond_stream(request, completion)
+            return await self._respond_whole(completion)
         finally:
-            self._drop(running)
+            self._remove(completion)
 
-    def _admit(self, request_id: str, body: dict[str, Any]) -> _Running:
+    def _enqueue(self, request_id: str, body: dict[str, Any]) -> _Completion:
         resumed_from = int(body.get("resume", {}).get("tokens", 0))
         generation = Generation(request_id=request_id, root=self.root, resumed_from=resumed_from)
         self.generations.append(generation)
-        running = _Running(
+        completion = _Completion(
             generation=generation,
             seed=token_seed(self.root, body["messages"]),
             index=resumed_from,
             total=int(body.get("max_tokens") or DEFAULT_MAX_TOKENS),
-            prefill_steps=self._prefill_steps(body["messages"]),
+            prefill_steps=self._count_prefill_steps(body["messages"]),
         )
-        entry = (-int(body.get("priority", 0)), next(self._order), running)
+        entry = (-int(body.get("priority", 0)), next(self._arrival_numbers), completion)
         heapq.heappush(self._waiting, entry)
-        self._wake.set()
-        return running
+        self._work_added.set()
+        return completion
 
-    def _prefill_steps(self, messages: list[dict[str, Any]]) -> int:
+    def _count_prefill_steps(self, messages: list[dict[str, Any]]) -> int:
         text = "".join(str(message.get("content")) for message in messages)
         prefix = blake3(text[:PREFIX_CHARACTERS].encode()).hexdigest()[:16]
         characters = len(text)
@@ -252,10 +257,10 @@
             characters = max(0, characters - PREFIX_CHARACTERS)
         else:
             self.cache_misses += 1
-        self._remember(prefix)
+        self._cache_prefix(prefix)
         return characters // CHARACTERS_PER_TOKEN // self._prefill_tokens_per_step
 
-    def _remember(self, prefix: str) -> None:
+    def _cache_prefix(self, prefix: str) -> None:
         self._cache[prefix] = None
         self._cache.move_to_end(prefix)
         self.events.append({"stored": prefix})
@@ -263,13 +268,15 @@
             evicted, _ = self._cache.popitem(last=False)
             self.events.append({"removed": evicted})
 
-    async def _stream(self, request: web.Request, running: _Running) -> web.StreamResponse:
+    async def _respond_stream(
+        self, request: web.Request, completion: _Completion
+    ) -> web.StreamResponse:
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
-        while (token := await running.queue.get()) is not None:
+        while (token := await completion.queue.get()) is not None:
             event = {"choices": [{"index": 0, "delta": {"content": token}}]}
             await response.write(b"data: " + msgspec.json.encode(event) + b"\n\n")
-        if not running.generation.finished:
+        if not completion.generation.finished:
             if request.transport is not None:
                 request.transport.abort()
             return response
@@ -277,11 +284,11 @@
         await response.write_eof()
         return response
 
-    async def _whole(self, running: _Running) -> web.Response:
+    async def _respond_whole(self, completion: _Completion) -> web.Response:
         tokens = []
-        while (token := await running.queue.get()) is not None:
+        while (token := await completion.queue.get()) is not None:
             tokens.append(token)
-        if not running.generation.finished:
+        if not completion.generation.finished:
             return web.json_response({"error": "cut"}, status=500)
         message = {"role": "assistant", "content": "".join(tokens)}
         return web.json_response(
@@ -293,24 +300,24 @@
         )
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        for running in [*self._running, *(entry[2] for entry in self._waiting)]:
-            if running.generation.request_id == request.match_info["request_id"]:
-                self._drop(running)
-                running.queue.put_nowait(None)
+        for completion in [*self._running, *(entry[2] for entry in self._waiting)]:
+            if completion.generation.request_id == request.match_info["request_id"]:
+                self._remove(completion)
+                completion.queue.put_nowait(None)
         return web.Response(status=204)
 
-    def _drop(self, running: _Running) -> None:
-        if running in self._running:
-            self._running.remove(running)
-        running.total = min(running.total, running.index)
+    def _remove(self, completion: _Completion) -> None:
+        if completion in self._running:
+            self._running.remove(completion)
+        completion.total = min(completion.total, completion.index)
 
-    async def _step_forever(self) -> None:
+    async def _run_steps(self) -> None:
         loop = asyncio.get_running_loop()
         next_step_s = loop.time()
         while True:
             if not self._running and not self._waiting:
-                self._wake.clear()
-                await self._wake.wait()
+                self._work_added.clear()
+                await self._work_added.wait()
                 next_step_s = loop.time()
             next_step_s += self._step_ms / 1000 * self.faults.slow_factor
             await asyncio.sleep(max(0.0, next_step_s - loop.time()))
@@ -324,25 +331,25 @@
             elif not admitted.generation.finished:
                 admitted.generation.finished = True
                 admitted.queue.put_nowait(None)
-        for running in list(self._running):
-            if self.faults.cut_streams > 0 and running.generation.generated > 0:
+        for completion in list(self._running):
+            if self.faults.cut_streams > 0 and completion.generation.generated > 0:
                 self.faults.cut_streams -= 1
-                self._running.remove(running)
-                running.queue.put_nowait(None)
+                self._running.remove(completion)
+                completion.queue.put_nowait(None)
                 continue
-            self._advance(running)
+            self._advance(completion)
 
-    def _advance(self, running: _Running) -> None:
-        if running.prefill_steps > 0:
-            running.prefill_steps -= 1
+    def _advance(self, completion: _Completion) -> None:
+        if completion.prefill_steps > 0:
+            completion.prefill_steps -= 1
             return
-        running.queue.put_nowait(token_text(running.seed, running.index))
-        running.index += 1
-        running.generation.generated += 1
-        if running.index >= running.total:
-            running.generation.finished = True
-            running.queue.put_nowait(None)
-            self._running.remove(running)
+        completion.queue.put_nowait(token_text(completion.seed, completion.index))
+        completion.index += 1
+        completion.generation.generated += 1
+        if completion.index >= completion.total:
+            completion.generation.finished = True
+            completion.queue.put_nowait(None)
+            self._running.remove(completion)
 
 
 __all__ = ["EngineStandin"]
--- a/src/leadhollow/standin/engine_records.py
+++ b/src/leadhollow/standin/engine_records.py
@@ -1,4 +1,4 @@
-"""What an engine stand-in is told, what it records, and what it generates."""
+"""Messages, ledger records and generated text of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 import msgspec
 from blake3 import blake3
 
-READ_BYTES = 4 * 1024 * 1024
+BLOCK_BYTES = 4 * 1024 * 1024
 
 
 class EngineFaults(msgspec.Struct, kw_only=True):
-    """What goes wrong.
+    """Injected faults; ``POST /admin/faults`` sets them.
 
     Parameters
     ----------
     slow_factor
-        How much longer each step takes.
+        Factor on the duration of each step.
     refuse_loads
-        Orders are answered with 500.
+        Orders to load a version are answered with 500.
     cut_streams
-        So many of the running streams are cut at the next step.
+        Number of running requests to cut once they have generated a token; counts down.
     dead
-        Every connection is cut; only faults and ledger still answer.
+        The engine drops its model and running requests, and aborts the connections of requests
+        for completions, the model and loads. Other paths still answer.
     """
 
     slow_factor: float = 1.0
@@ -34,7 +35,7 @@
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """One version that was loaded, with a hash of the bytes that were really read."""
+    """One load of a version, with the hash of the bytes that were read from its file."""
 
     root: str
     version: str
@@ -43,7 +44,7 @@
 
 
 class Generation(msgspec.Struct, kw_only=True):
-    """One run of one request."""
+    """One run of a request, from its start or from the token at which it was resumed."""
 
     request_id: str
     root: str
@@ -53,7 +54,7 @@
 
 
 class EngineLedger(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything an engine recorded."""
+    """Records of an engine, as ``GET /admin/ledger`` returns them."""
 
     generations: list[Generation]
     loads: list[Load]
@@ -62,7 +63,7 @@
 
 
 class LoadBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Order as it arrives."""
+    """Body of an order to load a version, ``POST /admin/load``."""
 
     model: str
     version: str
@@ -72,32 +73,32 @@
 
 
 def token_seed(root: str, messages: list[dict[str, Any]]) -> str:
-    """Give what a version makes of a prompt: a short text that every token carries."""
+    """Return a short hash of version and prompt, which every generated token contains."""
     return str(blake3(root.encode() + msgspec.json.encode(messages)).hexdigest()[:8])
 
 
 def token_text(seed: str, index: int) -> str:
-    """Give one token."""
+    """Return the text of one token."""
     return f" {seed}.{index}"
 
 
 def expected_text(root: str, messages: list[dict[str, Any]], tokens: int) -> str:
-    """Give the whole answer that a version gives to a prompt."""
+    """Return the complete response of a version to a prompt."""
     seed = token_seed(root, messages)
     return "".join(token_text(seed, index) for index in range(tokens))
 
 
 def hash_file(path: Path) -> str:
-    """Hash a file whole."""
+    """Return the BLAKE3 hash of a file as hexadecimal digits."""
     hasher = blake3()
     with path.open("rb") as file:
-        while piece := file.read(READ_BYTES):
-            hasher.update(piece)
+        while block := file.read(BLOCK_BYTES):
+            hasher.update(block)
     return str(hasher.hexdigest())
 
 
 def execution_counts(generations: list[Generation]) -> Counter[str]:
-    """Count how often each request was run from its beginning."""
+    """Count the runs of each request that started at its first token."""
     return Counter(
         generation.request_id for generation in generations if generation.resumed_from == 0
     )
--- a/src/leadhollow/standin/http_server.py
+++ b/src/leadhollow/standin/http_server.py
@@ -1,4 +1,4 @@
-"""Small HTTP listener that the stand-ins share."""
+"""HTTP server on loopback for the stand-ins."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class StandinServer:
-    """One aiohttp application on a loopback port.
+    """Serves one aiohttp application on a loopback port.
 
     Parameters
     ----------
     application
-        What to serve.
+        Application with the routes of the stand-in.
     """
 
     __slots__ = ("_application", "_runner", "port")
@@ -23,17 +23,17 @@
 
     @property
     def url(self) -> str:
-        """Base address."""
+        """Base URL of the server."""
         return f"http://127.0.0.1:{self.port}"
 
     async def start(self, port: int = 0) -> None:
-        """Listen on a free port, or on the given one."""
+        """Listen on the given port; 0 chooses a free one."""
         self._runner = web.AppRunner(
             self._application, access_log=None, handler_cancellation=True, shutdown_timeout=0.1
         )
         await self._runner.setup()
-        site = web.TCPSite(self._runner, "127.0.0.1", port, backlog=1024)
-        await site.start()
+        tcp_site = web.TCPSite(self._runner, "127.0.0.1", port, backlog=1024)
+        await tcp_site.start()
         self.port = self._runner.addresses[0][1]
 
     async def stop(self) -> None:
--- a/src/leadhollow/standin/ledgers.py
+++ b/src/leadhollow/standin/ledgers.py
@@ -1,4 +1,4 @@
-"""Compares what callers were told with what engines and services recorded."""
+"""Compares the outcomes that callers received with the runs that engines and services recorded."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 
 
 class Verdict(msgspec.Struct, frozen=True, kw_only=True):
-    """Broken promises, counted.
+    """Requests by outcome, and the number of violations of each guarantee.
 
     Parameters
     ----------
     lost
-        Calls that ended without any word.
+        Requests that ended without an outcome and were not sent again.
     doubled
-        Calls that may not be repeated and ran more than once; each order's text is its own.
+        Requests that must not be repeated but ran more than once. Runs of an order are counted by
+        its text, which has to be unique, and by request id; the larger number is given.
     wrong_answers
-        Answers told as executed that are cut short, mixed or somebody else's.
+        Responses with the outcome "executed" that are truncated, mixed or of another request.
     mixed_versions
-        Loads whose bytes are not those of the version.
+        Loads of weights whose bytes are not those of the version.
     false_not_executed
-        Calls told as not executed that ran.
+        Requests with the outcome "not executed" that ran.
     """
 
     requests: int
@@ -48,19 +49,21 @@
     loads: list[Load],
     file_hashes: dict[str, str],
 ) -> Verdict:
-    """Judge a run.
+    """Compare the records of the callers with the ledgers of engines and services.
 
     Parameters
     ----------
     file_hashes
-        Hash of the published bytes of each root.
+        Hash of the published model file, by root hash of the version.
     """
     runs = _runs_by_request(generations, executions)
     outcomes = Counter(record.outcome for record in records)
-    single = [record for record in records if not record.repeatable]
-    orders = Counter(execution.body for execution in executions if execution.method == "POST")
-    doubled_orders = sum(1 for count in orders.values() if count > 1)
-    doubled_calls = sum(1 for record in single if record.request_id and runs[record.request_id] > 1)
+    unrepeatable = [record for record in records if not record.repeatable]
+    order_counts = Counter(execution.body for execution in executions if execution.method == "POST")
+    doubled_orders = sum(1 for count in order_counts.values() if count > 1)
+    doubled_calls = sum(
+        1 for record in unrepeatable if record.request_id and runs[record.request_id] > 1
+    )
     return Verdict(
         requests=len(records),
         executed=outcomes[Outcome.EXECUTED],
--- a/src/leadhollow/standin/plain_service.py
+++ b/src/leadhollow/standin/plain_service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: records each execution of each request."""
+"""Stand-in for a plain service: records every execution of a request."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ServiceFaults(msgspec.Struct, kw_only=True):
-    """What goes wrong.
+    """Injected faults; ``POST /admin/faults`` sets them.
 
     Parameters
     ----------
     cut_after_run
-        So many of the next requests are run, and then their connection is cut.
+        Number of coming requests that are executed and whose connection is then aborted.
     delay_ms
-        How long each request takes.
+        Duration of each request, in milliseconds.
     """
 
     cut_after_run: int = 0
@@ -26,7 +26,7 @@
 
 
 class Execution(msgspec.Struct, frozen=True, kw_only=True):
-    """One run of one request."""
+    """One execution of a request."""
 
     request_id: str
     method: str
@@ -35,7 +35,7 @@
 
 
 class ServiceStandin:
-    """Answers any path with a serial number."""
+    """Service that answers any path with a serial number and the body of the request."""
 
     __slots__ = ("executions", "faults", "server")
 
@@ -44,7 +44,7 @@
         self.faults = ServiceFaults()
         application = web.Application(client_max_size=64 * 1024 * 1024)
         application.router.add_post("/admin/faults", self._set_faults)
-        application.router.add_get("/admin/ledger", self._ledger)
+        application.router.add_get("/admin/ledger", self._get_ledger)
         application.router.add_route("*", "/{path:.*}", self._run)
         self.server = StandinServer(application=application)
 
@@ -52,7 +52,7 @@
         self.faults = msgspec.json.decode(await request.read(), type=ServiceFaults)
         return web.Response(status=204)
 
-    async def _ledger(self, request: web.Request) -> web.Response:
+    async def _get_ledger(self, request: web.Request) -> web.Response:
         return web.Response(
             body=msgspec.json.encode(self.executions), content_type="application/json"
         )
--- a/src/leadhollow/standin/site.py
+++ b/src/leadhollow/standin/site.py
@@ -1,4 +1,7 @@
-"""A whole deployment on loopback in one process, between stand-ins."""
+"""A complete deployment on loopback, in one process and with stand-ins around it.
+
+The demo and the tests that need a running system use it.
+"""
 
 from __future__ import annotations
 
@@ -27,21 +30,27 @@
 WIRE_TOKEN = "loopback-wire-token"
 OPERATOR_TOKEN = "loopback-operator-token"
 READY_TIMEOUT_S = 15.0
-POLL_S = 0.02
-ORIGIN_LINK_FACTOR = 2  # the origin's link carries twice a machine's
+POLL_INTERVAL_S = 0.02
+ORIGIN_LINK_FACTOR = 2  # the origin's link is twice as fast as a VM's
 
 
 class SitePlan:
-    """Size of a site.
+    """Number of VMs and servers of a site, and the speed of its parts.
 
     Parameters
     ----------
     entries
-        Entry VMs of each failure domain.
+        Number of entry VMs by failure domain.
     engines
-        Engines of each failure domain.
-    services
+        Number of engines by failure domain.
+    service
         Name of a plain service and its failure domain, or None.
+    link_bytes_per_s
+        Link speed of a VM, in bytes per second.
+    engine_slots
+        Requests that an engine runs at a time.
+    step_ms
+        Duration of one engine step in milliseconds.
     """
 
     __slots__ = ("engine_slots", "engines", "entries", "link_bytes_per_s", "service", "step_ms")
@@ -65,12 +74,14 @@
 
 
 class Site:
-    """Stand-ins and processes of one deployment.
+    """Processes of one deployment and the stand-ins around them.
 
     Parameters
     ----------
+    plan
+        Size of the deployment.
     folder
-        Data folders of all VMs and the origin's files live under it.
+        Folder for the data of all VMs and the files of the origin.
     """
 
     __slots__ = (
@@ -100,16 +111,16 @@
 
     @property
     def entry_names(self) -> list[str]:
-        """VMs that play the entry role."""
+        """Names of the VMs that have the entry role."""
         return [vm for vm, settings in self.settings.items() if settings.has_role(Role.ENTRY)]
 
     async def start(self) -> Result[None, Failure]:
-        """Start stand-ins and all processes, and wait until the state takes edits."""
+        """Start stand-ins and processes, and wait until every failure domain is ready for edits."""
         (self.folder / "origin").mkdir(parents=True, exist_ok=True)
         await self.origin.server.start()
         await self.statsd.start()
-        places = await self._start_backends()
-        for settings in self._build_settings(places):
+        placements = await self._start_backends()
+        for settings in self._build_settings(placements):
             self.settings[settings.vm] = settings
         started = await asyncio.gather(*(self.start_process(vm) for vm in list(self.settings)))
         for result in started:
@@ -118,7 +129,7 @@
         return await self._wait_ready()
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Kill the processes, those of backend servers first, then stop the stand-ins."""
         backends = [vm for vm in self.processes if not self.settings[vm].has_role(Role.ENTRY)]
         entries = [vm for vm in self.processes if self.settings[vm].has_role(Role.ENTRY)]
         for names in (backends, entries):
@@ -131,26 +142,26 @@
         await self.statsd.stop()
 
     async def start_process(self, vm: str) -> Result[None, Failure]:
-        """Start or restart the process of a VM."""
+        """Start the process of a VM, also after it was killed."""
         process = Process(settings=self.settings[vm])
         self.processes[vm] = process
         return await process.start()
 
     async def kill_process(self, vm: str) -> None:
-        """Stop the process of a VM as a crash would."""
+        """Stop the process of a VM abruptly, as a crash would."""
         await self.processes.pop(vm).kill()
 
     def entry_url(self, vm: str) -> str:
-        """Callers' address of an entry."""
+        """Return the URL at which an entry accepts callers."""
         address = self.processes[vm].kernel.get("callers", CallerHttpServer).address
         return f"http://{address}"
 
     def entry_urls(self) -> list[str]:
-        """Callers' addresses of all live entries."""
+        """Return the URLs at which live entries accept callers."""
         return [self.entry_url(vm) for vm in self.entry_names if vm in self.processes]
 
     def operator(self) -> OperatorClient:
-        """Open a client for operators."""
+        """Create an operator client for all operator listeners; the caller closes it."""
         urls = [
             f"http://{settings.operators.listen}"
             for settings in self.settings.values()
@@ -159,24 +170,30 @@
         return OperatorClient(urls=tuple(urls), token=OPERATOR_TOKEN)
 
     def serving(self, root: str) -> list[str]:
-        """Name the engines that run a root, by their own word."""
+        """Return the names of the engine stand-ins that have loaded the version with this root."""
         return [name for name, engine in self.engines.items() if engine.root == root]
 
     async def wait_serving(
         self, root: str, names: list[str], *, timeout_s: float
     ) -> Result[float, Failure]:
-        """Wait until engines run a root; gives the seconds it took."""
+        """Wait until the named engines have loaded the version with this root.
+
+        Returns
+        -------
+        Result[float, Failure]
+            Seconds that it took; ``CHECK_FAILED`` after the timeout.
+        """
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         while loop.time() - started_s < timeout_s:
             if set(names) <= set(self.serving(root)):
                 return Ok(loop.time() - started_s)
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         missing = sorted(set(names) - set(self.serving(root)))
         return Err(Failure(code=Code.CHECK_FAILED, detail=f"not serving in time: {missing}"))
 
     async def _start_backends(self) -> list[BackendPlacement]:
-        places = []
+        placements = []
         for failure_domain, count in self._plan.engines.items():
             for number in range(1, count + 1):
                 engine = EngineStandin(
@@ -187,7 +204,7 @@
                 await engine.start()
                 name = f"{failure_domain}-engine-{number}"
                 self.engines[name] = engine
-                places.append(
+                placements.append(
                     BackendPlacement(
                         name=name,
                         failure_domain=failure_domain,
@@ -202,7 +219,7 @@
             await standin.server.start()
             name = f"{failure_domain}-{service}-1"
             self.services[name] = standin
-            places.append(
+            placements.append(
                 BackendPlacement(
                     name=name,
                     failure_domain=failure_domain,
@@ -212,14 +229,14 @@
                     service=service,
                 )
             )
-        return places
+        return placements
 
-    def _build_settings(self, places: list[BackendPlacement]) -> list[Settings]:
+    def _build_settings(self, placements: list[BackendPlacement]) -> list[Settings]:
         plan = DeploymentPlan(
             name="loopback",
             entries=self._plan.entries,
             regions=dict.fromkeys(self._plan.entries, "loopback"),
-            backends=places,
+            backends=placements,
             wire_token=WIRE_TOKEN,
             operator_token=OPERATOR_TOKEN,
             link_bytes_per_s=self._plan.link_bytes_per_s,
@@ -244,7 +261,7 @@
                     domain.connected and domain.fence for domain in status.unwrap().domains
                 ):
                     return Ok(None)
-                await asyncio.sleep(POLL_S * 5)
+                await asyncio.sleep(POLL_INTERVAL_S * 5)
         finally:
             await operator.close()
         return Err(Failure(code=Code.CHECK_FAILED, detail="the system was not ready in time"))
--- a/src/leadhollow/standin/statsd_sink.py
+++ b/src/leadhollow/standin/statsd_sink.py
@@ -1,4 +1,4 @@
-"""Stand-in of a statsd server: adds up what arrives by UDP."""
+"""Stand-in for a statsd server: counts the metrics that it receives over UDP."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class StatsdSink(asyncio.DatagramProtocol):
-    """Counts datagrams by metric name and keeps the last value of each gauge."""
+    """Counts received lines by metric name and keeps the last value of each gauge."""
 
     def __init__(self) -> None:
         self.received: Counter[str] = Counter()
@@ -30,12 +30,12 @@
             self._transport.close()
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        """Count one datagram."""
+        """Count the lines of one datagram."""
         for line in data.decode(errors="replace").splitlines():
-            name, _, rest = line.partition(":")
-            value, _, kind = rest.partition("|")
+            name, _, value_and_type = line.partition(":")
+            value, _, metric_type = value_and_type.partition("|")
             self.received[name] += 1
-            if kind == "g":
+            if metric_type == "g":
                 self.gauges[name] = float(value)
 
 
