--- a/src/leadhollow/cli/explain_command.py
+++ b/src/leadhollow/cli/explain_command.py
@@ -10,10 +10,10 @@
 
 from leadhollow.cli.output import print_failure, print_json, print_table, print_text
 from leadhollow.codes import Code
-from leadhollow.explain.losses import Loss, LossTable, divide_losses
+from leadhollow.explain.losses import Loss, LossTable, classify_losses
 from leadhollow.explain.records import LogRecord, read_records
-from leadhollow.explain.story import tell_story
-from leadhollow.explain.table_spread import TableSpread, follow_table
+from leadhollow.explain.table_propagation import TablePropagation, trace_table
+from leadhollow.explain.timeline import build_timeline
 from leadhollow.failure import Failure
 
 
@@ -35,7 +35,7 @@
             return print_failure(read.unwrap_err())
         records = read.unwrap()
         request = self.argument("request")
-        story = tell_story(request, records)
+        story = build_timeline(request, records)
         if not story:
             failure = Failure(code=Code.COMMAND_USAGE, detail=f"no line names request {request}")
             return print_failure(failure)
@@ -73,7 +73,7 @@
         read = _read(self.argument("logs"))
         if read.is_err():
             return print_failure(read.unwrap_err())
-        table = divide_losses(read.unwrap(), objective_ms=float(objective))
+        table = classify_losses(read.unwrap(), objective_ms=float(objective))
         if self.option("json"):
             print_json(_as_object(table))
             return 0
@@ -107,7 +107,7 @@
         read = _read(self.argument("logs"))
         if read.is_err():
             return print_failure(read.unwrap_err())
-        spread = follow_table(int(text), read.unwrap())
+        spread = trace_table(int(text), read.unwrap())
         if spread is None:
             detail = f"no line says that route table {text} was acknowledged"
             return print_failure(Failure(code=Code.COMMAND_USAGE, detail=detail))
@@ -131,7 +131,7 @@
         return 0
 
 
-def _spread_object(spread: TableSpread) -> dict[str, object]:
+def _spread_object(spread: TablePropagation) -> dict[str, object]:
     return {
         "acknowledged": [
             {"source": source, "after_s": round(after_s, 6)}
--- a/src/leadhollow/explain/losses.py
+++ b/src/leadhollow/explain/losses.py
@@ -90,7 +90,7 @@
         self.by_second[second][loss] += 1
 
 
-def divide_losses(records: Iterable[LogRecord], *, objective_ms: float) -> LossTable:
+def classify_losses(records: Iterable[LogRecord], *, objective_ms: float) -> LossTable:
     """Divide what was lost by cause.
 
     Parameters
--- a/src/leadhollow/explain/records.py
+++ b/src/leadhollow/explain/records.py
@@ -39,7 +39,7 @@
         self.message = message
         self.fields = fields
 
-    def names(self, field: str, value: str) -> bool:
+    def has_value(self, field: str, value: str) -> bool:
         """Tell whether a field has this value."""
         return self.fields.get(field) == value
 
--- a/src/leadhollow/explain/table_spread.py
+++ b/src/leadhollow/explain/table_propagation.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from leadhollow.explain.records import LogRecord
-from leadhollow.explain.story import clock_offsets
+from leadhollow.explain.timeline import clock_offsets
 
 ACKNOWLEDGED = "order acknowledged"
 IN_FORCE = "route table in force"
@@ -24,7 +24,7 @@
 """What tells why an entry's view stands still."""
 
 
-class EntrySpread:
+class EntryPropagation:
     """One entry and the table.
 
     Parameters
@@ -49,7 +49,7 @@
         self.last_event = last_event
 
 
-class TableSpread:
+class TablePropagation:
     """One table on its way.
 
     Parameters
@@ -63,18 +63,18 @@
     __slots__ = ("acknowledged", "entries")
 
     def __init__(
-        self, *, acknowledged: list[tuple[str, float]], entries: list[EntrySpread]
+        self, *, acknowledged: list[tuple[str, float]], entries: list[EntryPropagation]
     ) -> None:
         self.acknowledged = acknowledged
         self.entries = entries
 
 
-def follow_table(number: int, records: Sequence[LogRecord]) -> TableSpread | None:
+def trace_table(number: int, records: Sequence[LogRecord]) -> TablePropagation | None:
     """Follow one table from its acknowledgement to every entry.
 
     Returns
     -------
-    TableSpread or None
+    TablePropagation or None
         None where no line says that it was acknowledged.
     """
     told = [record for record in records if _acknowledges(record, number)]
@@ -98,7 +98,7 @@
         reached = [record for record in held if _number(record) >= number]
         events = [record.message for record in own if record.message in FEED_EVENTS]
         entries.append(
-            EntrySpread(
+            EntryPropagation(
                 source=source,
                 after_s=time_s(reached[0]) - start_s if reached else None,
                 number=_number(held[-1]),
@@ -106,14 +106,14 @@
             )
         )
     entries.sort(key=lambda entry: (entry.after_s is None, entry.after_s or 0.0))
-    return TableSpread(
+    return TablePropagation(
         acknowledged=[(record.source, time_s(record) - start_s) for record in told],
         entries=entries,
     )
 
 
 def _acknowledges(record: LogRecord, number: int) -> bool:
-    named = record.names("what", TABLE) and _number(record) == number
+    named = record.has_value("what", TABLE) and _number(record) == number
     return record.message == ACKNOWLEDGED and named
 
 
--- a/src/leadhollow/explain/story.py
+++ b/src/leadhollow/explain/timeline.py
@@ -24,7 +24,7 @@
 """What befell the process that had the request while it had it."""
 
 
-class StoryLine:
+class TimelineEvent:
     """One line of the story.
 
     Parameters
@@ -40,7 +40,7 @@
         self.record = record
 
 
-def tell_story(request: str, records: Sequence[LogRecord]) -> list[StoryLine]:
+def build_timeline(request: str, records: Sequence[LogRecord]) -> list[TimelineEvent]:
     """Give all lines of a request, of the engines that were chosen for it, and of its process.
 
     Returns
@@ -48,7 +48,7 @@
     list
         In the order of time; empty where no line names the request.
     """
-    own = [record for record in records if record.names("request", request)]
+    own = [record for record in records if record.has_value("request", request)]
     if not own:
         return []
     home = own[0].source
@@ -56,7 +56,7 @@
     end_s = max(record.time_s for record in own)
     offsets = clock_offsets(home, records)
     engines = {str(record.fields["instance"]) for record in own if "instance" in record.fields}
-    lines = [StoryLine(after_s=record.time_s - start_s, record=record) for record in own]
+    lines = [TimelineEvent(after_s=record.time_s - start_s, record=record) for record in own]
     for record in records:
         of_engine = record.message in ENGINE_EVENTS and record.fields.get("instance") in engines
         of_process = record.message in PROCESS_EVENTS and record.source == home
@@ -64,7 +64,7 @@
             continue
         time_s = record.time_s - offsets.get(record.source, 0.0)
         if start_s - BEFORE_S <= time_s <= end_s + AFTER_S:
-            lines.append(StoryLine(after_s=time_s - start_s, record=record))
+            lines.append(TimelineEvent(after_s=time_s - start_s, record=record))
     return sorted(lines, key=lambda line: line.after_s)
 
 
--- a/tests/explain/test_losses.py
+++ b/tests/explain/test_losses.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from leadhollow.explain.losses import Loss, divide_losses
+from leadhollow.explain.losses import Loss, classify_losses
 from leadhollow.explain.records import LogRecord
 from leadhollow.forward.end_reason import EndReason
 
@@ -65,7 +65,7 @@
         ],
     )
     def test_are_told_from_what_entries_log(self, lines, loss):
-        table = divide_losses(lines, objective_ms=OBJECTIVE_MS)
+        table = classify_losses(lines, objective_ms=OBJECTIVE_MS)
         assert table.by_cause == ({} if loss is None else {loss: 1})
 
     def test_stand_at_the_second_in_which_the_request_came(self):
@@ -74,11 +74,11 @@
             chosen(12.1),
             first(13.2, after_ms=1_100, engine_ms=0),
         ]
-        table = divide_losses(lines, objective_ms=OBJECTIVE_MS)
+        table = classify_losses(lines, objective_ms=OBJECTIVE_MS)
         assert list(table.by_second) == [2]
 
     def test_add_up_to_all_that_was_lost(self):
         lines = [chosen(1.0), ended(1.1, 503), line(1.0, "request refused", status=503)]
-        table = divide_losses(lines, objective_ms=OBJECTIVE_MS)
+        table = classify_losses(lines, objective_ms=OBJECTIVE_MS)
         assert sum(table.by_cause.values()) == 2
         assert table.attempts == 2
--- a/tests/explain/test_table_spread.py
+++ b/tests/explain/test_table_propagation.py
@@ -9,7 +9,7 @@
 
 from leadhollow.cli.application import build_application
 from leadhollow.explain.records import LogRecord, read_records
-from leadhollow.explain.table_spread import follow_table
+from leadhollow.explain.table_propagation import trace_table
 from tests.explain.test_story import line
 
 AHEAD_S = 40.0  # of the clock of the first entry
@@ -53,20 +53,20 @@
 
 class TestSpread:
     def test_begins_with_the_first_acknowledgement(self):
-        assert follow_table(6, records()).acknowledged == [("control-1", 0.0), ("control-2", 0.5)]
+        assert trace_table(6, records()).acknowledged == [("control-1", 0.0), ("control-2", 0.5)]
 
     def test_counts_a_higher_table_and_corrects_clocks(self):
-        entries = {entry.source: entry.after_s for entry in follow_table(6, records()).entries}
+        entries = {entry.source: entry.after_s for entry in trace_table(6, records()).entries}
         assert entries["entry-1"] == pytest.approx(0.04)
         assert entries["entry-2"] == pytest.approx(2.1)
 
     def test_says_what_an_entry_without_it_met(self):
-        late = follow_table(6, records()).entries[-1]
+        late = trace_table(6, records()).entries[-1]
         assert (late.source, late.after_s, late.number) == ("entry-3", None, 4)
         assert late.last_event == "control replica lost"
 
     def test_of_a_table_that_nobody_acknowledged_is_none(self):
-        assert follow_table(5, records()) is None
+        assert trace_table(5, records()) is None
 
 
 class TestCommand:
--- a/tests/explain/test_story.py
+++ b/tests/explain/test_timeline.py
@@ -9,7 +9,7 @@
 
 from leadhollow.cli.application import build_application
 from leadhollow.explain.records import LogRecord, read_records
-from leadhollow.explain.story import tell_story
+from leadhollow.explain.timeline import build_timeline
 
 AHEAD_S = 40.0  # of the control replica's clock
 
@@ -53,7 +53,7 @@
 
 class TestStory:
     def test_tells_what_was_learnt_of_the_chosen_engine_and_nothing_of_others(self):
-        story = tell_story("r1", records())
+        story = build_timeline("r1", records())
         told = [(line.record.message, line.record.fields.get("state")) for line in story]
         assert told == [
             ("backend server changed", "ready"),
@@ -63,7 +63,7 @@
         ]
 
     def test_orders_by_the_clock_of_the_entry(self):
-        story = tell_story("r1", records())
+        story = build_timeline("r1", records())
         assert [round(line.after_s, 3) for line in story] == [-5.0, -1.0, 0.0, 0.9]
 
     def test_tells_what_befell_its_process_meanwhile_and_no_other(self):
@@ -71,11 +71,11 @@
         elsewhere = line(105.7 + AHEAD_S, "loop", "loop was held up", for_s=0.9)
         found = [*records(), *read_records("entry.log", [held])]
         found += read_records("control.log", [elsewhere])
-        told = [line.record.fields.get("for_s") for line in tell_story("r1", found)]
+        told = [line.record.fields.get("for_s") for line in build_timeline("r1", found)]
         assert [for_s for for_s in told if for_s is not None] == [0.7]
 
     def test_is_empty_for_an_unknown_request(self):
-        assert tell_story("r9", records()) == []
+        assert build_timeline("r9", records()) == []
 
 
 class TestExplainCommand:
