--- a/src/leadhollow/__main__.py
+++ b/src/leadhollow/__main__.py
@@ -1,4 +1,4 @@
-"""Allows ``python -m leadhollow``."""
+"""Entry point of ``python -m leadhollow``."""
 
 from __future__ import annotations
 
--- a/src/leadhollow/cli/__init__.py
+++ b/src/leadhollow/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The ``leadhollow`` command line."""
--- a/src/leadhollow/cli/application.py
+++ b/src/leadhollow/cli/application.py
@@ -1,4 +1,4 @@
-"""The command line as a whole."""
+"""Assembles the command-line application from its commands."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 def build_application() -> Application:
-    """Build the application with all its commands."""
+    """Build the application with all commands."""
     application = Application("leadhollow", VERSION)
     application.auto_exits(False)
     application.catch_exceptions(False)
@@ -97,12 +97,12 @@
 
 
 def main() -> int:
-    """Run the command line.
+    """Run the command line with the arguments of this process.
 
     Returns
     -------
     int
-        Exit code: 0, or the class of the number the command ended with.
+        Exit code: 0, or the class (hundreds digit) of the result code.
     """
     try:
         return build_application().run()
--- a/src/leadhollow/cli/bench_command.py
+++ b/src/leadhollow/cli/bench_command.py
@@ -1,4 +1,4 @@
-"""``leadhollow bench``: measurements, each printed as one JSON object."""
+"""``leadhollow bench``: benchmarks, each printed as one JSON object."""
 
 from __future__ import annotations
 
@@ -23,38 +23,38 @@
 
 
 def json_option() -> Option:
-    """Give the option that prints one line of JSON."""
+    """Return the option that prints the result as one line of JSON."""
     return option("json", None, "Print one object on one line.", flag=True)
 
 
 def number_option(name: str, text: str, default: int) -> Option:
-    """Give an option that takes a whole number."""
+    """Return an option that takes a positive whole number."""
     return option(name, None, text, flag=False, default=str(default))
 
 
 class BenchCommand(Command):
-    """A measurement that prints one object."""
+    """Base class of the benchmark commands, which print one object."""
 
     options = [json_option()]  # noqa: RUF012
 
     def measure(self) -> Coroutine[Any, Any, Result[Any, Failure]]:
-        """Begin the measurement.
+        """Return the coroutine that measures.
 
         Raises
         ------
         ValueError
-            An option's value is malformed.
+            The value of an option is malformed.
         """
         raise NotImplementedError
 
     def handle(self) -> int:
-        """Run the measurement and print what it found."""
+        """Run the benchmark and print its result."""
         configure_command_logs(log_format=LogFormat.TEXT, level="error")
         try:
-            work = self.measure()
+            measurement = self.measure()
         except ValueError as error:
             return print_failure(Failure(code=Code.COMMAND_USAGE, detail=str(error)))
-        measured = run_async(work)
+        measured = run_async(measurement)
         if measured.is_err():
             return print_failure(measured.unwrap_err())
         if self.option("json"):
@@ -65,7 +65,13 @@
         return 0
 
     def number(self, name: str) -> int:
-        """Give the value of a whole-number option."""
+        """Return the value of a whole-number option.
+
+        Raises
+        ------
+        ValueError
+            The value is not a whole number above 0.
+        """
         text = self.option(name)
         if not text.isdigit() or int(text) < 1:
             message = f"--{name}: expected a whole number above 0, found {text!r}"
@@ -74,20 +80,20 @@
 
 
 class BenchControlCommand(BenchCommand):
-    """Measures what control costs."""
+    """Measures the resource use of the control plane."""
 
     name = "bench control"
     description = "Measure processor time, bytes and memory of each role, and edits in force."
 
     def measure(self) -> Coroutine[Any, Any, Result[Any, Failure]]:
-        """Begin the measurement."""
+        """Return the coroutine that measures."""
         from leadhollow.bench.control import run_control
 
         return run_control()
 
 
 class BenchDistributionCommand(BenchCommand):
-    """Measures how weights reach every replica."""
+    """Measures the distribution of weights to all replicas."""
 
     name = "bench distribution"
     description = "Measure time and origin bytes until a model runs on every replica."
@@ -105,7 +111,7 @@
     ]
 
     def measure(self) -> Coroutine[Any, Any, Result[Any, Failure]]:
-        """Begin the measurement that the options name."""
+        """Return the coroutine of the benchmark that the options select."""
         if self.option("live"):
             from leadhollow.bench.distribution_live import run_live
 
@@ -151,33 +157,33 @@
 
 
 class BenchRequestsCommand(BenchCommand):
-    """Measures the answers that callers get."""
+    """Measures whether responses to callers stay correct under faults."""
 
     name = "bench requests"
     description = "Run every fault under load and compare what was told with what was run."
 
     def measure(self) -> Coroutine[Any, Any, Result[Any, Failure]]:
-        """Begin the measurement."""
+        """Return the coroutine that measures."""
         from leadhollow.bench.requests import run_requests
 
         return run_requests()
 
 
 class BenchFairnessCommand(BenchCommand):
-    """Measures shares in a burst."""
+    """Measures how a burst of requests is shared between groups."""
 
     name = "bench fairness"
     description = "Measure shares, utilisation and neighbours' latency in a burst."
 
     def measure(self) -> Coroutine[Any, Any, Result[Any, Failure]]:
-        """Begin the measurement."""
+        """Return the coroutine that measures."""
         from leadhollow.bench.fairness import run_fairness
 
         return run_fairness()
 
 
 class BenchRecoveryCommand(BenchCommand):
-    """Measures what faults do to the state."""
+    """Measures the recovery of the replicated state after faults."""
 
     name = "bench recovery"
     description = "Kill, freeze, cut and wipe state replicas under edits, and judge the history."
@@ -187,33 +193,33 @@
     ]
 
     def measure(self) -> Coroutine[Any, Any, Result[Any, Failure]]:
-        """Begin the measurement."""
+        """Return the coroutine that measures."""
         from leadhollow.bench.recovery import run_recovery
 
         return run_recovery(self.number("seeds"))
 
 
 class BenchTableCommand(BenchCommand):
-    """Measures what a change of the route table costs."""
+    """Measures the cost of a change of the route table."""
 
     name = "bench table"
     description = "Measure a change of one route in tables of 100, 1,500 and 10,000."
 
     def measure(self) -> Coroutine[Any, Any, Result[Any, Failure]]:
-        """Begin the measurement."""
+        """Return the coroutine that measures."""
         from leadhollow.bench.table_costs import run_table_costs
 
         return run_table_costs()
 
 
 class BenchPathCommand(BenchCommand):
-    """Measures what one request costs an entry."""
+    """Measures the cost of one request at an entry."""
 
     name = "bench path"
     description = "Measure a request by stage, with 3 to 102 engines and 10 to 1,500 routes."
 
     def measure(self) -> Coroutine[Any, Any, Result[Any, Failure]]:
-        """Begin the measurement."""
+        """Return the coroutine that measures."""
         from leadhollow.bench.request_path import run_request_path
 
         return run_request_path()
--- a/src/leadhollow/cli/demo_command.py
+++ b/src/leadhollow/cli/demo_command.py
@@ -1,4 +1,4 @@
-"""``leadhollow demo``."""
+"""``leadhollow demo``: runs the whole system in one process and checks its guarantees."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DemoCommand(Command):
-    """Shows the whole system in one process."""
+    """Runs the whole system in one process."""
 
     name = "demo"
     description = "Run the whole system on loopback and check its promises."
@@ -69,17 +69,17 @@
                 folder.mkdir(parents=True, exist_ok=True)
             except OSError as error:
                 return Err(Failure(code=Code.FILE_UNREADABLE, detail=str(error)))
-            return run_async(_tell(folder, model_path))
+            return run_async(_run_story(folder, model_path))
         if self.option("keep"):
             folder = Path(tempfile.mkdtemp(prefix="leadhollow-demo-"))
             print_text(f"Data is kept in {folder}")
-            return run_async(_tell(folder, model_path))
+            return run_async(_run_story(folder, model_path))
         with tempfile.TemporaryDirectory(prefix="leadhollow-demo-") as name:
-            return run_async(_tell(Path(name), model_path))
+            return run_async(_run_story(Path(name), model_path))
 
 
-async def _tell(folder: Path, model_path: Path | None) -> Result[DemoReport, Failure] | None:
-    """Run the story; Ctrl-C or SIGTERM stops it cleanly."""
+async def _run_story(folder: Path, model_path: Path | None) -> Result[DemoReport, Failure] | None:
+    """Run the demonstration; returns None where SIGINT or SIGTERM stopped it."""
     story = DemoRun(folder=folder, model_path=model_path, on_progress=print_text)
     loop = asyncio.get_running_loop()
     task = loop.create_task(story.run())
--- a/src/leadhollow/cli/experiment_command.py
+++ b/src/leadhollow/cli/experiment_command.py
@@ -1,4 +1,4 @@
-"""``leadhollow experiment``: policies and memories under the same callers, in virtual time."""
+"""``leadhollow experiment``: compares policies under the same load, simulated in virtual time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ExperimentRunCommand(Command):
-    """Plays a load pattern under two policies."""
+    """Simulates a load pattern under two policies."""
 
     name = "experiment run"
     description = "Play a load pattern in virtual time under two policies, paired by seed."
@@ -38,15 +38,15 @@
     ]
 
     def handle(self) -> int:
-        """Play, and print each figure with its interval."""
+        """Run the simulations and print each figure with its confidence interval."""
         scenario = _scenario(self.argument("scenario"))
         policies = [_policy(name, self.option(name)) for name in ("policy", "against")]
-        counts = [_count(name, self.option(name)) for name in ("seeds", "jobs")]
+        counts = [_positive_number(name, self.option(name)) for name in ("seeds", "jobs")]
         for read in (scenario, *policies, *counts):
             if isinstance(read, Err):
                 return print_failure(read.unwrap_err())
         seeds, jobs = (count.unwrap() for count in counts)
-        compared = compare(
+        comparison = compare(
             scenario.unwrap(),
             policies[0].unwrap(),
             policies[1].unwrap(),
@@ -55,21 +55,21 @@
             on_progress=lambda done: _show_progress(done, seeds),
         )
         if self.option("json"):
-            print_json(compared)
+            print_json(comparison)
         else:
-            _print(compared)
+            _print_comparison(comparison)
         return 0
 
 
 class _WaysCommand(Command):
-    """Plays every pattern of a laboratory in every way that it knows.
+    """Base class of the commands that simulate every pattern in several variants.
 
     Attributes
     ----------
     way
-        What the ways are called in tables and in JSON.
+        Name of the variants in table headings and JSON keys.
     headline
-        What the figures are.
+        Explanation of the figures, printed above the table.
     """
 
     way = ""
@@ -79,37 +79,45 @@
         option("json", None, "Print one object on one line.", flag=True),
     ]
 
-    def played(self, seeds: int) -> dict[tuple[str, str], dict[str, float]]:
-        """Play everything; gives the figures by pattern and way."""
+    def simulate(self, seeds: int) -> dict[tuple[str, str], dict[str, float]]:
+        """Run all simulations and return their figures by pattern and variant."""
         raise NotImplementedError
 
     def handle(self) -> int:
-        """Play, and print a row for each pattern and way."""
-        counted = _count("seeds", self.option("seeds"))
-        if counted.is_err():
-            return print_failure(counted.unwrap_err())
-        seeds = counted.unwrap()
-        played = self.played(seeds)
+        """Run the simulations and print a row for each pattern and variant."""
+        parsed_seeds = _positive_number("seeds", self.option("seeds"))
+        if parsed_seeds.is_err():
+            return print_failure(parsed_seeds.unwrap_err())
+        seeds = parsed_seeds.unwrap()
+        figures_by_variant = self.simulate(seeds)
         if self.option("json"):
-            print_json([{"pattern": key[0], self.way: key[1], **played[key]} for key in played])
+            print_json(
+                [
+                    {"pattern": key[0], self.way: key[1], **figures_by_variant[key]}
+                    for key in figures_by_variant
+                ]
+            )
             return 0
         print_text(f"{seeds} seeds; {self.headline}")
-        figures = list(next(iter(played.values())))
-        rows = [(*key, *(found[figure] for figure in figures)) for key, found in played.items()]
+        figures = list(next(iter(figures_by_variant.values())))
+        rows = [
+            (*key, *(found[figure] for figure in figures))
+            for key, found in figures_by_variant.items()
+        ]
         print_table(("pattern", self.way, *figures), rows)
         return 0
 
 
 class ExperimentCrashesCommand(_WaysCommand):
-    """Plays requests that end engines."""
+    """Simulates requests that crash engines."""
 
     name = "experiment crashes"
     description = "Play requests that end their engines, with and without a memory of the fleet."
     way = "memory"
     headline = "means of a run, and the most engines that one request ended"
 
-    def played(self, seeds: int) -> dict[tuple[str, str], dict[str, float]]:
-        """Play each pattern with each memory."""
+    def simulate(self, seeds: int) -> dict[tuple[str, str], dict[str, float]]:
+        """Simulate each pattern with each kind of memory."""
         return {
             (pattern, memory.value): crashes.play(pattern, memory, seeds=seeds)
             for pattern in crashes.PATTERNS
@@ -118,15 +126,15 @@
 
 
 class ExperimentLimitsCommand(_WaysCommand):
-    """Plays servers that limit the requests they take."""
+    """Simulates servers that limit their request rate."""
 
     name = "experiment limits"
     description = "Play servers that name limits, with several ways of keeping these."
     way = "way"
     headline = "means of a run, and the worst excess over the aim and over the rule"
 
-    def played(self, seeds: int) -> dict[tuple[str, str], dict[str, float]]:
-        """Play each pattern in each way."""
+    def simulate(self, seeds: int) -> dict[tuple[str, str], dict[str, float]]:
+        """Simulate each pattern with each way to keep the limits."""
         return {
             (pattern, way.value): limits.play(pattern, way, seeds=seeds)
             for pattern in limit_patterns.PATTERNS
@@ -151,7 +159,7 @@
         return Err(Failure(code=Code.COMMAND_USAGE, detail=f"--{name}: {error}"))
 
 
-def _count(name: str, text: str) -> Result[int, Failure]:
+def _positive_number(name: str, text: str) -> Result[int, Failure]:
     if not text.isdigit() or int(text) < 1:
         detail = f"--{name}: expected a whole number above 0, found {text!r}"
         return Err(Failure(code=Code.COMMAND_USAGE, detail=detail))
@@ -164,20 +172,20 @@
         sys.stderr.flush()
 
 
-def _print(compared: Comparison) -> None:
+def _print_comparison(comparison: Comparison) -> None:
     print_text(
-        f"{compared.scenario}, {compared.seeds} seeds; no placement can exceed a worth of "
-        f"{compared.bound:.4f}"
+        f"{comparison.scenario}, {comparison.seeds} seeds; no placement can exceed a worth of "
+        f"{comparison.bound:.4f}"
     )
     rows = [
         (
             name,
-            f"{compared.policy[name]:.4f}",
-            f"{compared.against[name]:.4f}",
+            f"{comparison.policy[name]:.4f}",
+            f"{comparison.against[name]:.4f}",
             f"{found.mean:+.4f}",
             f"{found.half_width:.4f}",
         )
-        for name, found in compared.difference.items()
+        for name, found in comparison.difference.items()
     ]
     print_table(("figure", "policy", "against", "difference", "+-95%"), rows)
 
--- a/src/leadhollow/cli/explain_command.py
+++ b/src/leadhollow/cli/explain_command.py
@@ -1,4 +1,4 @@
-"""``leadhollow explain``, ``leadhollow explain day`` and ``leadhollow explain table``."""
+"""``leadhollow explain``: finds the fate of requests and route tables in log files."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ExplainCommand(Command):
-    """Tells what happened to one request."""
+    """Shows what happened to one request."""
 
     name = "explain"
     description = "Put the story of one request together from the logs of several processes."
@@ -29,31 +29,31 @@
     options = [option("json", None, "Print one JSON object a line.", flag=True)]  # noqa: RUF012
 
     def handle(self) -> int:
-        """Print the story."""
-        read = _read(self.argument("logs"))
+        """Print the timeline of the request."""
+        read = _read_logs(self.argument("logs"))
         if read.is_err():
             return print_failure(read.unwrap_err())
         records = read.unwrap()
         request = self.argument("request")
-        story = build_timeline(request, records)
-        if not story:
+        timeline = build_timeline(request, records)
+        if not timeline:
             failure = Failure(code=Code.COMMAND_USAGE, detail=f"no line names request {request}")
             return print_failure(failure)
-        for line in story:
-            record = line.record
+        for event in timeline:
+            record = event.record
             if self.option("json"):
-                where = {"after_s": round(line.after_s, 6), "source": record.source}
+                where = {"after_s": round(event.after_s, 6), "source": record.source}
                 print_json({**where, "message": record.message, **record.fields})
                 continue
             pairs = " ".join(
                 f"{name}={value}" for name, value in record.fields.items() if name != "request"
             )
-            print_text(f"{line.after_s:9.3f} s  {record.source:20}  {record.message}  {pairs}")
+            print_text(f"{event.after_s:9.3f} s  {record.source:20}  {record.message}  {pairs}")
         return 0
 
 
 class ExplainDayCommand(Command):
-    """Divides what a day lost by second and cause."""
+    """Counts lost attempts by cause and second."""
 
     name = "explain day"
     description = "Count what entries refused, answered late or broke off, by cause."
@@ -65,17 +65,17 @@
     ]
 
     def handle(self) -> int:
-        """Print the table."""
+        """Print the counts."""
         objective = self.option("objective-ms")
         if not objective.isdigit() or int(objective) < 1:
             detail = f"--objective-ms: expected a whole number above 0, found {objective!r}"
             return print_failure(Failure(code=Code.COMMAND_USAGE, detail=detail))
-        read = _read(self.argument("logs"))
+        read = _read_logs(self.argument("logs"))
         if read.is_err():
             return print_failure(read.unwrap_err())
         table = classify_losses(read.unwrap(), objective_ms=float(objective))
         if self.option("json"):
-            print_json(_as_object(table))
+            print_json(_loss_document(table))
             return 0
         rows = [(loss.value, table.by_cause[loss]) for loss in Loss if table.by_cause[loss]]
         print_table(("cause", "attempts"), rows)
@@ -88,7 +88,7 @@
 
 
 class ExplainTableCommand(Command):
-    """Tells how one route table came into force."""
+    """Shows when one route table came into force."""
 
     name = "explain table"
     description = "Tell when a route table was acknowledged, and when each entry had it in force."
@@ -104,17 +104,17 @@
         if not text.isdigit():
             detail = f"number: expected a whole number, found {text!r}"
             return print_failure(Failure(code=Code.COMMAND_USAGE, detail=detail))
-        read = _read(self.argument("logs"))
+        read = _read_logs(self.argument("logs"))
         if read.is_err():
             return print_failure(read.unwrap_err())
-        spread = trace_table(int(text), read.unwrap())
-        if spread is None:
+        propagation = trace_table(int(text), read.unwrap())
+        if propagation is None:
             detail = f"no line says that route table {text} was acknowledged"
             return print_failure(Failure(code=Code.COMMAND_USAGE, detail=detail))
         if self.option("json"):
-            print_json(_spread_object(spread))
+            print_json(_propagation_document(propagation))
             return 0
-        acknowledged = [(source, f"{after_s:.3f}") for source, after_s in spread.acknowledged]
+        acknowledged = [(source, f"{after_s:.3f}") for source, after_s in propagation.acknowledged]
         print_table(("acknowledged by", "after s"), acknowledged)
         print_table(
             ("entry", "in force after s", "last table", "last event of its feed"),
@@ -125,17 +125,17 @@
                     entry.number,
                     entry.last_event,
                 )
-                for entry in spread.entries
+                for entry in propagation.entries
             ],
         )
         return 0
 
 
-def _spread_object(spread: TablePropagation) -> dict[str, object]:
+def _propagation_document(propagation: TablePropagation) -> dict[str, object]:
     return {
         "acknowledged": [
             {"source": source, "after_s": round(after_s, 6)}
-            for source, after_s in spread.acknowledged
+            for source, after_s in propagation.acknowledged
         ],
         "entries": [
             {
@@ -144,12 +144,12 @@
                 "number": entry.number,
                 "last_event": entry.last_event,
             }
-            for entry in spread.entries
+            for entry in propagation.entries
         ],
     }
 
 
-def _as_object(table: LossTable) -> dict[str, object]:
+def _loss_document(table: LossTable) -> dict[str, object]:
     return {
         "attempts": table.attempts,
         "by_cause": {loss.name.lower(): count for loss, count in table.by_cause.items()},
@@ -160,8 +160,8 @@
     }
 
 
-def _read(names: list[str]) -> Result[list[LogRecord], Failure]:
-    """Read all lines of all files; what is no log line is passed over."""
+def _read_logs(names: list[str]) -> Result[list[LogRecord], Failure]:
+    """Read the log lines of all files; other lines are skipped."""
     records: list[LogRecord] = []
     for name in names:
         try:
--- a/src/leadhollow/cli/loop.py
+++ b/src/leadhollow/cli/loop.py
@@ -1,4 +1,4 @@
-"""Runs coroutines of commands on uvloop, with signals."""
+"""Runs coroutines on uvloop and turns stop signals into an event."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 log = get_logger("process")
 
 
-def run_async(work: Coroutine[Any, Any, Answer]) -> Answer:
-    """Run a coroutine to its end."""
-    return uvloop.run(work)
+def run_async(coroutine: Coroutine[Any, Any, Answer]) -> Answer:
+    """Run a coroutine to its end on a new event loop and return its result."""
+    return uvloop.run(coroutine)
 
 
 def request_stop_on_signals() -> asyncio.Event:
-    """Give an event that SIGTERM or SIGINT sets; further signals are only logged."""
+    """Return an event that SIGTERM or SIGINT sets; further signals are only logged."""
     stop_requested = asyncio.Event()
 
     def on_signal(number: signal.Signals) -> None:
--- a/src/leadhollow/cli/model_commands.py
+++ b/src/leadhollow/cli/model_commands.py
@@ -1,4 +1,4 @@
-"""``leadhollow model``: publish and rollout."""
+"""``leadhollow model``: publishes model files and rolls versions out."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ModelPublishCommand(OperatorCommand):
-    """Publishes a model file."""
+    """Publishes a model file as a new version."""
 
     name = "model publish"
     description = "Hash a model file, put it at the origin and make the version known."
@@ -43,7 +43,7 @@
     ]
 
     def handle(self) -> int:
-        """Publish the file."""
+        """Publish the file and print its version record."""
         for name in ("model", "version", "origin"):
             if not self.option(name):
                 detail = f"--{name} is missing"
@@ -52,7 +52,7 @@
         if not chunk_text.isdigit() or int(chunk_text) < 1:
             detail = f"--chunk-bytes: expected a whole number, found {chunk_text!r}"
             return self.fail(Failure(code=Code.COMMAND_USAGE, detail=detail))
-        asked = self.ask(
+        result = self.ask(
             lambda client: client.publish(
                 Path(self.argument("file")),
                 model=self.option("model"),
@@ -61,9 +61,9 @@
                 chunk_bytes=int(chunk_text),
             )
         )
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
-        record = asked.unwrap()
+        if result.is_err():
+            return self.fail(result.unwrap_err())
+        record = result.unwrap()
         if self.option("json"):
             print_json(record)
         else:
@@ -72,7 +72,7 @@
 
 
 class ModelRolloutCommand(OperatorCommand):
-    """Rolls a version out."""
+    """Rolls a published version out."""
 
     name = "model rollout"
     description = "Name a version in the rows that use the model, and follow the rollout."
@@ -91,12 +91,12 @@
     help = "To roll back, roll out the version that ran before."
 
     def handle(self) -> int:
-        """Edit the rows, then follow."""
-        asked = self.ask(self._roll_out)
+        """Edit the rows, then follow the rollout until it is complete."""
+        result = self.ask(self._roll_out)
         end_progress()
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
-        status = asked.unwrap()
+        if result.is_err():
+            return self.fail(result.unwrap_err())
+        status = result.unwrap()
         if self.option("json"):
             print_json(status)
         else:
@@ -112,11 +112,11 @@
         deadline_s = loop.time() + float(self.option("timeout-s"))
         model, version = self.argument("model"), self.argument("version")
         while True:
-            asked = await client.status()
-            if asked.is_ok():
-                status = asked.unwrap()
+            result = await client.status()
+            if result.is_ok():
+                status = result.unwrap()
                 print_progress(_progress_text(status, model, version))
-                if self.option("no-wait") or _rolled_out(status, model, version):
+                if self.option("no-wait") or _is_rolled_out(status, model, version):
                     return Ok(status)
             if loop.time() >= deadline_s:
                 detail = "the rollout goes on, but was not done in time"
@@ -128,11 +128,11 @@
         rows = await client.rows()
         if rows.is_err():
             return Err(rows.unwrap_err())
-        wanted = set(self.option("group") or ())
+        selected_groups = set(self.option("group") or ())
         edits = []
         for reply in rows.unwrap():
             row = reply.row
-            if model not in row.models or (wanted and row.group not in wanted):
+            if model not in row.models or (selected_groups and row.group not in selected_groups):
                 continue
             choice = msgspec.structs.replace(row.models[model], version=version)
             changed = msgspec.structs.replace(row, models={**row.models, model: choice})
@@ -146,8 +146,8 @@
         return Err(edited.unwrap_err()) if edited.is_err() else Ok(None)
 
 
-def _slots(status: StatusReply, model: str, version: str) -> dict[str, tuple[int, int]]:
-    """Give, by failure domain, the slots that run the version and all of the model's slots."""
+def _slot_counts(status: StatusReply, model: str, version: str) -> dict[str, tuple[int, int]]:
+    """Return, by failure domain, the slots that run the version and all slots of the model."""
     found = {}
     for domain in status.domains:
         lines = [line for line in domain.serving if line.name == model and line.kind == "engine"]
@@ -156,8 +156,8 @@
     return found
 
 
-def _rolled_out(status: StatusReply, model: str, version: str) -> bool:
-    slots = _slots(status, model, version)
+def _is_rolled_out(status: StatusReply, model: str, version: str) -> bool:
+    slots = _slot_counts(status, model, version)
     return all(done == total for done, total in slots.values()) and any(
         total for _, total in slots.values()
     )
@@ -166,7 +166,7 @@
 def _progress_text(status: StatusReply, model: str, version: str) -> str:
     parts = [
         f"{domain} {done}/{total} slots"
-        for domain, (done, total) in _slots(status, model, version).items()
+        for domain, (done, total) in _slot_counts(status, model, version).items()
     ]
     origin_bytes = sum(domain.origin_bytes for domain in status.domains)
     return f"{', '.join(parts)}; {origin_bytes} bytes read from the origin"
--- a/src/leadhollow/cli/operator_command.py
+++ b/src/leadhollow/cli/operator_command.py
@@ -1,4 +1,4 @@
-"""What all commands that talk to the operators' listener share."""
+"""Base class and options of the commands that use the operators' listener."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def operator_options() -> list[Option]:
-    """Give the options that say where operators are served."""
+    """Return the options that select the listener and the output format."""
     return [
         option(
             "operators",
@@ -46,35 +46,35 @@
 
 
 class OperatorCommand(Command):
-    """A command that sends one or more requests to operators' listeners."""
+    """Base class of commands that send requests to operators' listeners."""
 
     def ask(  # type: ignore[override]
         self, work: Callable[[OperatorClient], Awaitable[Result[Answer, Failure]]]
     ) -> Result[Answer, Failure]:
-        """Open a client, run the work and close the client."""
-        target = self._target()
-        if target.is_err():
-            return Err(target.unwrap_err())
+        """Open a client, run the work with it and close the client."""
+        opened = self._open_client()
+        if opened.is_err():
+            return Err(opened.unwrap_err())
 
-        async def talk() -> Result[Answer, Failure]:
-            client = target.unwrap()
+        async def run_with_client() -> Result[Answer, Failure]:
+            client = opened.unwrap()
             try:
                 return await work(client)
             finally:
                 await client.close()
 
-        return run_async(talk())
+        return run_async(run_with_client())
 
     def fail(self, failure: Failure) -> int:
-        """Print a failure and give its exit code."""
+        """Print a failure and return its exit code."""
         return print_failure(failure)
 
     @property
     def operator(self) -> str:
-        """Name under which changes stand in the history."""
+        """Name of the operator in the history of changes."""
         return getpass.getuser()
 
-    def _target(self) -> Result[OperatorClient, Failure]:
+    def _open_client(self) -> Result[OperatorClient, Failure]:
         path = self.option("settings")
         if path is not None:
             loaded = load_settings(Path(path))
@@ -87,11 +87,11 @@
             url = f"http://{operators.listen}"
             return Ok(OperatorClient(urls=(url,), token=operators.token))
         urls = self.option("operators") or os.environ.get(URLS_VARIABLE, "")
-        found = tuple(url.strip().rstrip("/") for url in urls.split(",") if url.strip())
-        if not found:
+        addresses = tuple(url.strip().rstrip("/") for url in urls.split(",") if url.strip())
+        if not addresses:
             detail = f"give --operators, --settings or ${URLS_VARIABLE}"
             return Err(Failure(code=Code.COMMAND_USAGE, detail=detail))
-        with_scheme = tuple(url if "://" in url else f"http://{url}" for url in found)
+        with_scheme = tuple(url if "://" in url else f"http://{url}" for url in addresses)
         return Ok(OperatorClient(urls=with_scheme, token=os.environ.get(TOKEN_VARIABLE, "")))
 
 
--- a/src/leadhollow/cli/output.py
+++ b/src/leadhollow/cli/output.py
@@ -1,4 +1,4 @@
-"""What commands print: JSON for programs, tables for people, failures on one line."""
+"""Prints JSON, text, tables, failures and progress of commands."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 def print_json(value: object) -> None:
-    """Print one object on one line."""
+    """Print one object as JSON on one line."""
     sys.stdout.write(msgspec.json.encode(value).decode() + "\n")
     sys.stdout.flush()
 
 
 def print_text(text: str) -> None:
-    """Print text for a person."""
+    """Print text, followed by a line break."""
     sys.stdout.write(text + "\n")
     sys.stdout.flush()
 
 
 def print_table(headings: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Print rows in aligned columns."""
+    """Print headings and rows in aligned columns."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [
         max([len(heading), *(len(row[column]) for row in cells)])
@@ -35,21 +35,21 @@
 
 
 def print_failure(failure: Failure, *, where: str = "") -> int:
-    """Print a failure on standard error and give its exit code."""
-    place = f"{where}: " if where else ""
-    sys.stderr.write(f"leadhollow: {place}{failure}\n")
+    """Print a failure on standard error and return its exit code."""
+    prefix = f"{where}: " if where else ""
+    sys.stderr.write(f"leadhollow: {prefix}{failure}\n")
     return failure.code.exit_code
 
 
 def print_progress(text: str) -> None:
-    """Replace the progress line, where a person watches a terminal."""
+    """Replace the progress line, only where standard error is a terminal."""
     if sys.stderr.isatty():
         sys.stderr.write(f"\r\033[K{text}")
         sys.stderr.flush()
 
 
 def end_progress() -> None:
-    """Leave the progress line."""
+    """End the progress line, only where standard error is a terminal."""
     if sys.stderr.isatty():
         sys.stderr.write("\n")
 
--- a/src/leadhollow/cli/quarantine_commands.py
+++ b/src/leadhollow/cli/quarantine_commands.py
@@ -1,4 +1,4 @@
-"""``leadhollow quarantine``: list, show and release."""
+"""``leadhollow quarantine``: lists, shows and releases requests in quarantine."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class _QuarantineCommand(ReplicaCommand):
-    """A command that asks a control replica for its verdicts."""
+    """Base class of commands that ask a control replica for its verdicts."""
 
     def verdicts(self) -> Result[tuple[SuspectNews, list[Verdict]], Failure]:
-        """Give what the replica knows, and its verdicts."""
-        asked = self.ask(SuspectQuery(getpass.getuser()))
-        if asked.is_err():
-            return Err(asked.unwrap_err())
-        news: SuspectNews = asked.unwrap()
+        """Return the suspect table of the replica and its verdicts."""
+        result = self.ask(SuspectQuery(getpass.getuser()))
+        if result.is_err():
+            return Err(result.unwrap_err())
+        news: SuspectNews = result.unwrap()
         return Ok((news, list(news.verdicts or ())))
 
 
@@ -38,11 +38,11 @@
     ]
 
     def handle(self) -> int:
-        """Print one line a request."""
-        asked = self.verdicts()
-        if asked.is_err():
-            return print_failure(asked.unwrap_err())
-        _, verdicts = asked.unwrap()
+        """Print one line per request."""
+        result = self.verdicts()
+        if result.is_err():
+            return print_failure(result.unwrap_err())
+        _, verdicts = result.unwrap()
         shown = [found for found in verdicts if self.option("all") or not found.released]
         if self.option("json"):
             print_json([_document(found) for found in shown])
@@ -73,11 +73,11 @@
     options = [json_option()]  # noqa: RUF012
 
     def handle(self) -> int:
-        """Print one line a server."""
-        found = self.found()
-        if found.is_err():
-            return print_failure(found.unwrap_err())
-        news, verdict = found.unwrap()
+        """Print one line per server."""
+        match = self.find_verdict()
+        if match.is_err():
+            return print_failure(match.unwrap_err())
+        news, verdict = match.unwrap()
         ends = {end.life: end for end in news.ends or ()}
         rows = []
         for life in verdict.lives or ():
@@ -92,28 +92,30 @@
             print_table(("SERVER", "OTHERS", "SINCE_S"), rows)
         return 0
 
-    def found(self) -> Result[tuple[SuspectNews, Verdict], Failure]:
-        """Find the verdict whose fingerprint begins as the argument does."""
-        asked = self.verdicts()
-        if asked.is_err():
-            return Err(asked.unwrap_err())
-        news, verdicts = asked.unwrap()
-        return _the_one(self.argument("fingerprint"), verdicts).map(lambda found: (news, found))
+    def find_verdict(self) -> Result[tuple[SuspectNews, Verdict], Failure]:
+        """Find the only verdict whose fingerprint begins with the argument."""
+        result = self.verdicts()
+        if result.is_err():
+            return Err(result.unwrap_err())
+        news, verdicts = result.unwrap()
+        return _match_fingerprint(self.argument("fingerprint"), verdicts).map(
+            lambda found: (news, found)
+        )
 
 
 class QuarantineReleaseCommand(QuarantineShowCommand):
-    """Lets a request go."""
+    """Releases a request from quarantine."""
 
     name = "quarantine release"
     description = "Let a request be sent again, until three more servers end under it."
     help = "The servers that ended under it speak against it no more. All entries know in a second."
 
     def handle(self) -> int:
-        """Release the request."""
-        found = self.found()
-        if found.is_err():
-            return print_failure(found.unwrap_err())
-        _, verdict = found.unwrap()
+        """Release the request and print its fingerprint."""
+        match = self.find_verdict()
+        if match.is_err():
+            return print_failure(match.unwrap_err())
+        _, verdict = match.unwrap()
         released = self.ask(SuspectRelease(verdict.fingerprint, getpass.getuser()))
         if released.is_err():
             return print_failure(released.unwrap_err())
@@ -124,7 +126,7 @@
         return 0
 
 
-def _the_one(text: str, verdicts: list[Verdict]) -> Result[Verdict, Failure]:
+def _match_fingerprint(text: str, verdicts: list[Verdict]) -> Result[Verdict, Failure]:
     wanted = text.lower()
     if not wanted or not all(letter in "0123456789abcdef" for letter in wanted):
         return Err(Failure(code=Code.FINGERPRINT_INVALID, detail=text))
--- a/src/leadhollow/cli/replica_command.py
+++ b/src/leadhollow/cli/replica_command.py
@@ -1,4 +1,4 @@
-"""What commands share that ask one control replica."""
+"""Base class and options of the commands that query one control replica."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 CALL_TIMEOUT_MS = 2_000
 TOKEN_VARIABLE = "LEADHOLLOW_WIRE_TOKEN"
-DEFAULT_TOKEN = "leadhollow"  # as in the settings of a process that names none
+DEFAULT_TOKEN = "leadhollow"  # the default of the settings
 
 
 class ReplicaCommand(Command):
-    """A command that asks a control replica."""
+    """Base class of commands that query a control replica."""
 
     def ask(self, body: Body) -> Result[Body, Failure]:  # type: ignore[override]
-        """Send one call to the replica that the command names."""
+        """Call the replica that the argument names and return its reply."""
         address = self.argument("replica")
         token = os.environ.get(TOKEN_VARIABLE, DEFAULT_TOKEN)
 
-        async def talk() -> Result[Body, Failure]:
+        async def call_replica() -> Result[Body, Failure]:
             peers = PeerPool(
                 vm=f"operator-{getpass.getuser()}",
                 failure_domain="",
@@ -42,16 +42,16 @@
             finally:
                 await peers.stop()
 
-        return run_async(talk())
+        return run_async(call_replica())
 
 
 def replica_argument() -> Argument:
-    """Give the argument that names the replica."""
+    """Return the argument for the address of the replica."""
     return argument("replica", "Address of a control replica's own port, HOST:PORT.")
 
 
 def json_option() -> Option:
-    """Give the option to print JSON."""
+    """Return the option to print JSON."""
     return option("json", None, "Print JSON.", flag=True)
 
 
--- a/src/leadhollow/cli/row_options.py
+++ b/src/leadhollow/cli/row_options.py
@@ -1,4 +1,4 @@
-"""Options that change a row's fields."""
+"""Command-line options that change the fields of a table row."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def row_options() -> list[Option]:
-    """Give the options of a row's fields."""
+    """Return the options for the fields of a row."""
     return [
         option("weight", None, "Weight of the group.", flag=False),
         option("concurrency", None, "Most requests that run at once.", flag=False),
@@ -43,12 +43,19 @@
 
 
 def row_with_options(row: Row, value_of: Callable[[str], Any]) -> Result[Row, Failure]:
-    """Apply the options that were given.
+    """Return the row with the given options applied.
+
+    Parameters
+    ----------
+    row
+        The current row.
+    value_of
+        Returns the value of an option by its name.
 
     Errors
     ------
     COMMAND_USAGE
-        An option's value is malformed.
+        The value of an option is malformed.
     """
     try:
         if value_of("weight") is not None:
@@ -77,14 +84,14 @@
     if not rest:
         models.pop(model, None)
         return
-    version, *more = rest.split(":")
+    version, *choice_parts = rest.split(":")
     choice = msgspec.structs.replace(
         models.get(model, ModelChoice(version=version)), version=version
     )
-    if more:
-        choice = msgspec.structs.replace(choice, minimum_replicas=int(more[0]))
-    if len(more) > 1:
-        choice = msgspec.structs.replace(choice, policy=Policy(more[1]))
+    if choice_parts:
+        choice = msgspec.structs.replace(choice, minimum_replicas=int(choice_parts[0]))
+    if len(choice_parts) > 1:
+        choice = msgspec.structs.replace(choice, policy=Policy(choice_parts[1]))
     models[model] = choice
 
 
--- a/src/leadhollow/cli/run_command.py
+++ b/src/leadhollow/cli/run_command.py
@@ -1,4 +1,4 @@
-"""``leadhollow run`` and ``leadhollow check``."""
+"""``leadhollow run`` and ``leadhollow check``: run a process and check settings files."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     )
 
     def handle(self) -> int:
-        """Run until stopped."""
+        """Run the process until it is stopped."""
         return serve(Path(self.argument("settings")))
 
 
@@ -44,20 +44,20 @@
     def handle(self) -> int:
         """Check every file; the exit code is that of the first failure."""
         exit_code = 0
-        good: list[Settings] = []
+        valid_settings: list[Settings] = []
         for name in self.argument("settings"):
             loaded = load_settings(Path(name))
             if loaded.is_ok():
-                good.append(loaded.unwrap())
+                valid_settings.append(loaded.unwrap())
                 self._report(name, "ok", 0, "")
                 continue
             failure = loaded.unwrap_err()
             exit_code = exit_code or failure.code.exit_code
             self._report(name, str(failure), int(failure.code), failure.field)
-        together = check_deployment(good)
-        if together is not None:
-            exit_code = exit_code or together.code.exit_code
-            self._report("all files together", str(together), int(together.code), together.field)
+        conflict = check_deployment(valid_settings)
+        if conflict is not None:
+            exit_code = exit_code or conflict.code.exit_code
+            self._report("all files together", str(conflict), int(conflict.code), conflict.field)
         return exit_code
 
     def _report(self, name: str, text: str, code: int, field: str) -> None:
--- a/src/leadhollow/cli/serve.py
+++ b/src/leadhollow/cli/serve.py
@@ -1,4 +1,4 @@
-"""Runs one process from its settings file, without the rest of the command line."""
+"""Runs one process from its settings file, without importing the command-line library."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def serve(path: Path) -> int:
-    """Run until stopped; gives the exit code."""
+    """Run the process until it is stopped and return the exit code."""
     loaded = load_settings(path)
     if loaded.is_err():
         return print_failure(loaded.unwrap_err(), where=str(path))
@@ -24,8 +24,8 @@
 async def _serve(settings: Settings) -> int:
     from leadhollow.process import run_process
 
-    ended = await run_process(settings, request_stop_on_signals())
-    return 0 if ended.is_ok() else print_failure(ended.unwrap_err(), where=settings.vm)
+    result = await run_process(settings, request_stop_on_signals())
+    return 0 if result.is_ok() else print_failure(result.unwrap_err(), where=settings.vm)
 
 
 __all__ = ["serve"]
--- a/src/leadhollow/cli/servers_command.py
+++ b/src/leadhollow/cli/servers_command.py
@@ -1,4 +1,4 @@
-"""``leadhollow servers``: backend servers that leave, want rest or limit what they take."""
+"""``leadhollow servers``: lists servers that drain, back off or limit their request rate."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ServersCommand(ReplicaCommand):
-    """Lists backend servers."""
+    """Lists backend servers with their self-reports and request limits."""
 
     name = "servers"
     description = "List the backend servers that leave, want rest or limit what they take."
@@ -26,17 +26,17 @@
     ]
 
     def handle(self) -> int:
-        """Print one line a server."""
-        asked = self.ask(StandingQuery(getpass.getuser()))
-        if asked.is_err():
-            return print_failure(asked.unwrap_err())
-        standings: ServerStandings = asked.unwrap()
-        found = [_document(standing) for standing in standings.servers or ()]
-        shown = [one for one in found if self.option("all") or _stands_out(one)]
+        """Print one line per server."""
+        result = self.ask(StandingQuery(getpass.getuser()))
+        if result.is_err():
+            return print_failure(result.unwrap_err())
+        standings: ServerStandings = result.unwrap()
+        documents = [_document(standing) for standing in standings.servers or ()]
+        shown = [found for found in documents if self.option("all") or _has_report(found)]
         if self.option("json"):
             print_json(shown)
         else:
-            print_table(HEADINGS, [_row(one) for one in shown])
+            print_table(HEADINGS, [_row(found) for found in shown])
         return 0
 
 
@@ -59,9 +59,9 @@
     }
 
 
-def _stands_out(document: dict[str, object]) -> bool:
-    wanted = ("leaving_since_s", "rest_left_s", "limit_per_s")
-    return any(document[name] is not None for name in wanted)
+def _has_report(document: dict[str, object]) -> bool:
+    reported_fields = ("leaving_since_s", "rest_left_s", "limit_per_s")
+    return any(document[name] is not None for name in reported_fields)
 
 
 def _row(document: dict[str, object]) -> tuple[object, ...]:
--- a/src/leadhollow/cli/state_commands.py
+++ b/src/leadhollow/cli/state_commands.py
@@ -1,4 +1,4 @@
-"""``leadhollow state``: verify, backup and restore."""
+"""``leadhollow state``: verifies, backs up and restores the state of a stopped VM."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class _StateCommand(Command):
-    """A command on a state folder."""
+    """Base class of commands on a state folder."""
 
     def report(self, result: Result[StateReport, Failure]) -> int:
-        """Print what the folder holds, or why it cannot be used."""
+        """Print a summary of the state, or why the operation failed; returns the exit code."""
         if result.is_err():
             return print_failure(result.unwrap_err())
         found = result.unwrap()
@@ -35,7 +35,7 @@
 
 
 class StateVerifyCommand(_StateCommand):
-    """Checks a state folder."""
+    """Verifies every record of a state folder."""
 
     name = "state verify"
     description = "Read the state of a stopped VM whole and check every record."
@@ -43,12 +43,12 @@
     options = [option("json", None, "Print JSON.", flag=True)]  # noqa: RUF012
 
     def handle(self) -> int:
-        """Check the folder."""
+        """Verify the folder."""
         return self.report(verify_state(Path(self.argument("folder"))))
 
 
 class StateBackupCommand(_StateCommand):
-    """Copies a state folder."""
+    """Backs a state folder up into one file."""
 
     name = "state backup"
     description = "Copy the state of a stopped VM into one checksummed file."
@@ -65,7 +65,7 @@
 
 
 class StateRestoreCommand(_StateCommand):
-    """Brings a backup back."""
+    """Restores a backup into an empty folder."""
 
     name = "state restore"
     description = "Bring a backup back into an empty folder, for every state VM alike."
@@ -80,7 +80,7 @@
     )
 
     def handle(self) -> int:
-        """Read the backup."""
+        """Restore the backup."""
         source, folder = Path(self.argument("file")), Path(self.argument("folder"))
         return self.report(restore_state(source, folder))
 
--- a/src/leadhollow/cli/status_commands.py
+++ b/src/leadhollow/cli/status_commands.py
@@ -12,7 +12,7 @@
 
 
 class StatusCommand(OperatorCommand):
-    """Shows how the system stands."""
+    """Shows the status of the system."""
 
     name = "status"
     description = "Show leader, revision and each failure domain."
@@ -20,10 +20,10 @@
 
     def handle(self) -> int:
         """Print the status."""
-        asked = self.ask(lambda client: client.status())
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
-        status = asked.unwrap()
+        result = self.ask(lambda client: client.status())
+        if result.is_err():
+            return self.fail(result.unwrap_err())
+        status = result.unwrap()
         if self.option("json"):
             print_json(status)
             return 0
@@ -31,13 +31,13 @@
         print_text(f"leader {leader}, term {status.term}, revision {status.revision}")
         print_table(
             ("FAILURE DOMAIN", "CONNECTED", "REVISION", "DAEMONS", "BEHIND", "LEASE", "SERVING"),
-            [_domain_line(domain) for domain in status.domains],
+            [_domain_row(domain) for domain in status.domains],
         )
         return 0
 
 
 class DrainCommand(OperatorCommand):
-    """Sends a backend server away."""
+    """Drains a backend server, or cancels its drain."""
 
     name = "drain"
     description = "Send a backend server away: it gets no new work, and work in progress ends."
@@ -48,23 +48,23 @@
     ]
 
     def handle(self) -> int:
-        """Order the drain."""
+        """Request the drain or its cancellation."""
         server = self.argument("server")
         draining = not self.option("cancel")
-        asked = self.ask(
+        result = self.ask(
             lambda client: client.drain(server, draining=draining, operator=self.operator)
         )
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
+        if result.is_err():
+            return self.fail(result.unwrap_err())
         if self.option("json"):
-            print_json(asked.unwrap())
+            print_json(result.unwrap())
         else:
             print_text(f"{server} {'is leaving' if draining else 'takes work again'}.")
         return 0
 
 
 class ErrorsCommand(Command):
-    """Lists the result numbers."""
+    """Lists the result codes."""
 
     name = "errors"
     description = "List the result numbers, or explain one."
@@ -75,11 +75,13 @@
     ]
 
     def handle(self) -> int:
-        """Print the numbers."""
-        wanted = self.argument("number")
-        codes = [code for code in Code if wanted is None or str(int(code)) == wanted]
+        """Print the selected result codes."""
+        selected_number = self.argument("number")
+        codes = [
+            code for code in Code if selected_number is None or str(int(code)) == selected_number
+        ]
         if not codes:
-            print_text(f"no such number: {wanted}")
+            print_text(f"no such number: {selected_number}")
             return Code.COMMAND_USAGE.exit_code
         if self.option("markdown"):
             print_text(errors_page().rstrip("\n"))
@@ -108,7 +110,7 @@
 
 
 def errors_page() -> str:
-    """Render the page of result numbers."""
+    """Render the Markdown page of the result codes."""
     lines = [
         "# Result numbers",
         "",
@@ -126,7 +128,7 @@
     return "\n".join(lines) + "\n"
 
 
-def _domain_line(domain: DomainStatus) -> tuple[object, ...]:
+def _domain_row(domain: DomainStatus) -> tuple[object, ...]:
     serving = ", ".join(
         f"{line.name} {line.version} {line.free_slots}/{line.slots} free".replace("  ", " ")
         for line in domain.serving
--- a/src/leadhollow/cli/table_commands.py
+++ b/src/leadhollow/cli/table_commands.py
@@ -1,4 +1,4 @@
-"""``leadhollow table``: list, get, set, import, export and history."""
+"""``leadhollow table``: shows, edits, imports and exports the rows of the groups."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def wait_option() -> Option:
-    """Give the option that waits for an edit to be in force."""
+    """Return the option for how long to wait until an edit is in force."""
     return option(
         "wait-ms",
         None,
@@ -38,7 +38,7 @@
 
 
 class TableListCommand(OperatorCommand):
-    """Lists the table."""
+    """Lists all rows of the table."""
 
     name = "table list"
     description = "List all rows of the table."
@@ -46,15 +46,15 @@
 
     def handle(self) -> int:
         """Print the rows."""
-        asked = self.ask(lambda client: client.rows())
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
+        result = self.ask(lambda client: client.rows())
+        if result.is_err():
+            return self.fail(result.unwrap_err())
         if self.option("json"):
-            print_json(asked.unwrap())
+            print_json(result.unwrap())
             return 0
         print_table(
             ("GROUP", "REVISION", "WEIGHT", "CONCURRENCY", "TOKENS/S", "QUEUE", "MODELS"),
-            [_list_line(reply) for reply in asked.unwrap()],
+            [_list_row(reply) for reply in result.unwrap()],
         )
         return 0
 
@@ -69,13 +69,13 @@
 
     def handle(self) -> int:
         """Print the row."""
-        asked = self.ask(lambda client: client.row(self.argument("group")))
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
+        result = self.ask(lambda client: client.row(self.argument("group")))
+        if result.is_err():
+            return self.fail(result.unwrap_err())
         if self.option("json"):
-            print_json(asked.unwrap())
+            print_json(result.unwrap())
         else:
-            text = msgspec.json.encode(asked.unwrap())
+            text = msgspec.json.encode(result.unwrap())
             print_text(msgspec.json.format(text, indent=2).decode())
         return 0
 
@@ -102,10 +102,10 @@
     def handle(self) -> int:
         """Send the edit."""
         new_key = secrets.token_urlsafe(KEY_BYTES) if self.option("new-key") else ""
-        asked = self.ask(lambda client: self._set(client, new_key))
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
-        reply = asked.unwrap()
+        result = self.ask(lambda client: self._set(client, new_key))
+        if result.is_err():
+            return self.fail(result.unwrap_err())
+        reply = result.unwrap()
         if self.option("json"):
             print_json({**msgspec.to_builtins(reply), "api_key": new_key})
             return 0
@@ -145,7 +145,7 @@
 
 
 class TableImportCommand(OperatorCommand):
-    """Imports a sheet as one edit."""
+    """Imports a CSV sheet as one edit."""
 
     name = "table import"
     description = "Import a CSV sheet as one edit: all of its rows or none."
@@ -168,30 +168,32 @@
             for failure in read.unwrap_err():
                 print_failure(failure, where=str(path))
             return Code.SHEET_INVALID.exit_code
-        asked = self.ask(lambda client: self._import(client, read.unwrap()))
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
+        result = self.ask(lambda client: self._import(client, read.unwrap()))
+        if result.is_err():
+            return self.fail(result.unwrap_err())
         if self.option("json"):
-            print_json(asked.unwrap())
+            print_json(result.unwrap())
         elif self.option("dry-run"):
-            print_text(asked.unwrap().detail or f"{len(read.unwrap())} rows would be accepted.")
+            print_text(result.unwrap().detail or f"{len(read.unwrap())} rows would be accepted.")
         else:
-            print_text(accepted_text(asked.unwrap()))
+            print_text(accepted_text(result.unwrap()))
         return 0
 
     async def _import(self, client: OperatorClient, rows: list[Row]) -> Result[EditReply, Failure]:
         current = await client.rows()
         if current.is_err():
             return Err(current.unwrap_err())
-        known = {reply.row.group: reply for reply in current.unwrap()}
+        current_rows = {reply.row.group: reply for reply in current.unwrap()}
         edits = [
             RowEdit(
                 group=row.group,
-                expected_revision=known[row.group].revision if row.group in known else 0,
+                expected_revision=(
+                    current_rows[row.group].revision if row.group in current_rows else 0
+                ),
                 row=row,
             )
             for row in rows
-            if row.group not in known or known[row.group].row != row
+            if row.group not in current_rows or current_rows[row.group].row != row
         ]
         if not edits:
             return Ok(EditReply(detail="nothing differs"))
@@ -204,7 +206,7 @@
 
 
 class TableExportCommand(OperatorCommand):
-    """Exports the table as a sheet."""
+    """Exports the table as a CSV sheet."""
 
     name = "table export"
     description = "Print the table as a CSV sheet that table import takes back."
@@ -212,10 +214,10 @@
 
     def handle(self) -> int:
         """Print the sheet."""
-        asked = self.ask(lambda client: client.rows())
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
-        sheet = write_sheet([reply.row for reply in asked.unwrap()])
+        result = self.ask(lambda client: client.rows())
+        if result.is_err():
+            return self.fail(result.unwrap_err())
+        sheet = write_sheet([reply.row for reply in result.unwrap()])
         if self.option("json"):
             print_json({"sheet": sheet})
         else:
@@ -224,7 +226,7 @@
 
 
 class TableHistoryCommand(OperatorCommand):
-    """Shows accepted changes."""
+    """Shows the history of accepted changes."""
 
     name = "table history"
     description = "Show accepted changes: who, what and at which revision."
@@ -233,24 +235,24 @@
 
     def handle(self) -> int:
         """Print the changes, oldest first."""
-        asked = self.ask(lambda client: client.history(self.argument("group") or ""))
-        if asked.is_err():
-            return self.fail(asked.unwrap_err())
+        result = self.ask(lambda client: client.history(self.argument("group") or ""))
+        if result.is_err():
+            return self.fail(result.unwrap_err())
         if self.option("json"):
-            print_json(asked.unwrap())
+            print_json(result.unwrap())
             return 0
         print_table(
             ("REVISION", "OPERATOR", "GROUP", "CHANGE"),
             [
                 (entry.revision, entry.operator, entry.group, _change_text(entry))
-                for entry in asked.unwrap()
+                for entry in result.unwrap()
             ],
         )
         return 0
 
 
 def accepted_text(reply: EditReply) -> str:
-    """Describe an accepted edit for a person."""
+    """Return a readable description of an accepted edit."""
     if not reply.revision:
         return reply.detail or "Nothing changed."
     text = f"Accepted as revision {reply.revision}."
@@ -261,7 +263,7 @@
     return text
 
 
-def _list_line(reply: RowReply) -> tuple[object, ...]:
+def _list_row(reply: RowReply) -> tuple[object, ...]:
     row = reply.row
     models = ", ".join(f"{model} {choice.version}" for model, choice in row.models.items())
     limits = row.limits
--- a/src/leadhollow/codes.py
+++ b/src/leadhollow/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes: the one list of everything leadhollow can answer."""
+"""Defines the result codes, the complete list of outcomes that leadhollow reports."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Outcome:
-    """What is known about a caller's request once it has been answered."""
+    """Whether a request was executed, as far as is known when the caller gets its response."""
 
     EXECUTED = "executed"
     NOT_EXECUTED = "not-executed"
@@ -15,16 +15,16 @@
 
 
 class Code(IntEnum):
-    """A result number with its HTTP status and one line of meaning.
+    """A numbered result code with its HTTP status and a one-line meaning.
 
-    The hundreds digit is the class of the number and the exit code of the command line.
+    The hundreds digit is the class of the code and the exit code of the command line.
     """
 
     http_status: HTTPStatus
     meaning: str
 
     def __new__(cls, number: int, http_status: int, meaning: str) -> Code:
-        """Build one member from its row."""
+        """Create one member from its number, HTTP status and meaning."""
         member = int.__new__(cls, number)
         member._value_ = number
         member.http_status = HTTPStatus(http_status)
@@ -33,12 +33,12 @@
 
     @property
     def exit_code(self) -> int:
-        """Exit code of a command that ended with this number."""
+        """Exit code of a command that ended with this code."""
         return int(self) // 100
 
     @property
     def title(self) -> str:
-        """Short readable name of the number."""
+        """Short readable name of the code."""
         return self.name.lower().replace("_", " ")
 
     OK = (0, 200, "The request was carried out.")
@@ -152,12 +152,12 @@
     INTERNAL = (901, 500, "An unexpected error; the log has its record.")
 
 
-_BY_NUMBER = {int(code): code for code in Code}
+_CODES_BY_NUMBER = {int(code): code for code in Code}
 
 
 def code_of(number: int) -> Code | None:
-    """Find a code by its number, None where this release does not know it."""
-    return _BY_NUMBER.get(number)
+    """Return the code with a number, None where this release does not define it."""
+    return _CODES_BY_NUMBER.get(number)
 
 
 __all__ = ["Code", "Outcome", "code_of"]
--- a/src/leadhollow/explain/__init__.py
+++ b/src/leadhollow/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Puts the story of one request together from the logs of several processes."""
+"""Finds what happened to requests and route tables from the logs of several processes."""
--- a/src/leadhollow/explain/records.py
+++ b/src/leadhollow/explain/records.py
@@ -1,4 +1,4 @@
-"""Log lines as they were written, with what stands in front of them left out."""
+"""Parses JSON log lines, without any prefix that a log collector added."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 import msgspec
 
-_HEAD_FIELDS = frozenset({"time_s", "level", "component", "message"})
+_STANDARD_KEYS = frozenset({"time_s", "level", "component", "message"})
 
 
 class LogRecord:
-    """One line of one process.
+    """One log line of one process.
 
     Parameters
     ----------
     source
-        File that it stands in, and the process where the line begins with its name.
+        Name of the process that the line is prefixed with; else, name of the file.
     time_s
-        By the clock of that process.
+        Unix time by the clock of that process.
     fields
-        Everything but time, level, component and message.
+        All keys but time, level, component and message.
     """
 
     __slots__ = ("component", "fields", "message", "source", "time_s")
@@ -40,15 +40,15 @@
         self.fields = fields
 
     def has_value(self, field: str, value: str) -> bool:
-        """Tell whether a field has this value."""
+        """Return whether a field has this value."""
         return self.fields.get(field) == value
 
 
 def read_records(name: str, lines: Iterable[str]) -> Iterator[LogRecord]:
-    """Read the records of one file; lines that are none are passed over.
+    """Parse the log lines of one file; other lines are skipped.
 
-    Whatever stands in front of the first brace belongs to who collected the lines; its last word
-    tells several processes of one file apart.
+    Text before the first brace was added by a log collector. Its last word is taken as the name of
+    the process, since one file may hold the lines of several processes.
     """
     for line in lines:
         prefix, brace, rest = line.partition("{")
@@ -66,7 +66,7 @@
             time_s=float(decoded["time_s"]),
             component=str(decoded.get("component", "")),
             message=str(decoded.get("message", "")),
-            fields={key: value for key, value in decoded.items() if key not in _HEAD_FIELDS},
+            fields={key: value for key, value in decoded.items() if key not in _STANDARD_KEYS},
         )
 
 
--- a/src/leadhollow/explain/table_propagation.py
+++ b/src/leadhollow/explain/table_propagation.py
@@ -1,4 +1,4 @@
-"""When one route table was acknowledged, and when each entry had it in force."""
+"""Traces one route table from its acknowledgement until it is in force at each entry."""
 
 from __future__ import annotations
 
@@ -21,21 +21,23 @@
         "process ends",
     }
 )
-"""What tells why an entry's view stands still."""
+"""Events that explain why an entry gets no newer route table."""
 
 
 class EntryPropagation:
-    """One entry and the table.
+    """When a route table came into force at one entry.
 
     Parameters
     ----------
+    source
+        Process of the entry.
     after_s
-        Time from the first acknowledgement until the table, or a higher one, was in force there;
-        None where it never was.
+        Time from the first acknowledgement until this table or one with a higher number was in
+        force; None where that never happened.
     number
-        The last table that it had in force, None where it had none.
+        Number of the last table in force at the entry.
     last_event
-        What its feed last met, for an entry that never had the table.
+        Message of the last event of the entry's feed, empty without one.
     """
 
     __slots__ = ("after_s", "last_event", "number", "source")
@@ -50,14 +52,15 @@
 
 
 class TablePropagation:
-    """One table on its way.
+    """How one route table reached the entries.
 
     Parameters
     ----------
     acknowledged
-        Replicas that acknowledged it, the first one first, each with the time since then.
+        Replicas that acknowledged the table in order of time, each with the time since the first
+        acknowledgement.
     entries
-        Every entry that wrote a line, the slowest last.
+        Every entry that logged a table in force, the slowest last.
     """
 
     __slots__ = ("acknowledged", "entries")
@@ -70,51 +73,51 @@
 
 
 def trace_table(number: int, records: Sequence[LogRecord]) -> TablePropagation | None:
-    """Follow one table from its acknowledgement to every entry.
+    """Trace one route table from its acknowledgement to every entry.
 
     Returns
     -------
     TablePropagation or None
-        None where no line says that it was acknowledged.
+        None where no log line acknowledges the table.
     """
-    told = [record for record in records if _acknowledges(record, number)]
-    if not told:
+    acknowledgements = [record for record in records if _is_acknowledgement(record, number)]
+    if not acknowledgements:
         return None
-    offsets = clock_offsets(told[0].source, records)
+    offsets = clock_offsets(acknowledgements[0].source, records)
 
     def time_s(record: LogRecord) -> float:
         return record.time_s - offsets.get(record.source, 0.0)
 
-    told.sort(key=time_s)
-    start_s = time_s(told[0])
+    acknowledgements.sort(key=time_s)
+    start_s = time_s(acknowledgements[0])
     by_source: dict[str, list[LogRecord]] = {}
     for record in sorted(records, key=time_s):
         by_source.setdefault(record.source, []).append(record)
     entries = []
-    for source, own in by_source.items():
-        held = [record for record in own if record.message == IN_FORCE]
-        if not held:
+    for source, source_records in by_source.items():
+        in_force = [record for record in source_records if record.message == IN_FORCE]
+        if not in_force:
             continue
-        reached = [record for record in held if _number(record) >= number]
-        events = [record.message for record in own if record.message in FEED_EVENTS]
+        reached = [record for record in in_force if _number(record) >= number]
+        events = [record.message for record in source_records if record.message in FEED_EVENTS]
         entries.append(
             EntryPropagation(
                 source=source,
                 after_s=time_s(reached[0]) - start_s if reached else None,
-                number=_number(held[-1]),
+                number=_number(in_force[-1]),
                 last_event=events[-1] if events else "",
             )
         )
     entries.sort(key=lambda entry: (entry.after_s is None, entry.after_s or 0.0))
     return TablePropagation(
-        acknowledged=[(record.source, time_s(record) - start_s) for record in told],
+        acknowledged=[(record.source, time_s(record) - start_s) for record in acknowledgements],
         entries=entries,
     )
 
 
-def _acknowledges(record: LogRecord, number: int) -> bool:
-    named = record.has_value("what", TABLE) and _number(record) == number
-    return record.message == ACKNOWLEDGED and named
+def _is_acknowledgement(record: LogRecord, number: int) -> bool:
+    matches_table = record.has_value("what", TABLE) and _number(record) == number
+    return record.message == ACKNOWLEDGED and matches_table
 
 
 def _number(record: LogRecord) -> int:
@@ -122,4 +125,4 @@
     return found if isinstance(found, int) else -1
 
 
-__all__ = ["EntrySpread", "TableSpread", "follow_table"]
+__all__ = ["EntryPropagation", "TablePropagation", "trace_table"]
--- a/src/leadhollow/explain/timeline.py
+++ b/src/leadhollow/explain/timeline.py
@@ -1,4 +1,4 @@
-"""Selects and orders what concerns one request, although the clocks of processes disagree."""
+"""Selects the log lines that concern one request and orders them, corrected for clock offsets."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from leadhollow.explain.records import LogRecord
 
-BEFORE_S = 5.0  # what was learnt of an engine so long before the request may explain its choice
-AFTER_S = 2.0
+LOOKBACK_S = 5.0  # events of an engine shortly before the request may explain its choice
+LOOKAHEAD_S = 2.0
 ENGINE_EVENTS = frozenset(
     {
         "backend server changed",
@@ -21,16 +21,18 @@
 )
 
 PROCESS_EVENTS = frozenset({"loop was held up", "process ends", "process starts"})
-"""What befell the process that had the request while it had it."""
+"""Events of the entry process that handled the request, listed while it did."""
 
 
 class TimelineEvent:
-    """One line of the story.
+    """One event of a timeline.
 
     Parameters
     ----------
     after_s
-        Time since the first line of the request, by the clock of the process that had it.
+        Time since the first log line of the request, by the clock of the process that handled it.
+    record
+        The log line.
     """
 
     __slots__ = ("after_s", "record")
@@ -41,55 +43,60 @@
 
 
 def build_timeline(request: str, records: Sequence[LogRecord]) -> list[TimelineEvent]:
-    """Give all lines of a request, of the engines that were chosen for it, and of its process.
+    """Collect the log lines of a request, of its engines and of the process that handled it.
 
     Returns
     -------
     list
-        In the order of time; empty where no line names the request.
+        Ordered by corrected time; empty where no line names the request.
     """
-    own = [record for record in records if record.has_value("request", request)]
-    if not own:
+    request_records = [record for record in records if record.has_value("request", request)]
+    if not request_records:
         return []
-    home = own[0].source
-    start_s = min(record.time_s for record in own)
-    end_s = max(record.time_s for record in own)
-    offsets = clock_offsets(home, records)
-    engines = {str(record.fields["instance"]) for record in own if "instance" in record.fields}
-    lines = [TimelineEvent(after_s=record.time_s - start_s, record=record) for record in own]
+    reference_source = request_records[0].source
+    start_s = min(record.time_s for record in request_records)
+    end_s = max(record.time_s for record in request_records)
+    offsets = clock_offsets(reference_source, records)
+    engines = {
+        str(record.fields["instance"]) for record in request_records if "instance" in record.fields
+    }
+    events = [
+        TimelineEvent(after_s=record.time_s - start_s, record=record) for record in request_records
+    ]
     for record in records:
         of_engine = record.message in ENGINE_EVENTS and record.fields.get("instance") in engines
-        of_process = record.message in PROCESS_EVENTS and record.source == home
+        of_process = record.message in PROCESS_EVENTS and record.source == reference_source
         if not of_engine and not of_process:
             continue
         time_s = record.time_s - offsets.get(record.source, 0.0)
-        if start_s - BEFORE_S <= time_s <= end_s + AFTER_S:
-            lines.append(TimelineEvent(after_s=time_s - start_s, record=record))
-    return sorted(lines, key=lambda line: line.after_s)
+        if start_s - LOOKBACK_S <= time_s <= end_s + LOOKAHEAD_S:
+            events.append(TimelineEvent(after_s=time_s - start_s, record=record))
+    return sorted(events, key=lambda event: event.after_s)
 
 
-def clock_offsets(home: str, records: Iterable[LogRecord]) -> dict[str, float]:
-    """Estimate how far each process's clock is ahead of that of one of them.
+def clock_offsets(reference_source: str, records: Iterable[LogRecord]) -> dict[str, float]:
+    """Estimate how many seconds the clock of each process is ahead of the reference process.
 
-    Every process notes when it first hears of a backend server; the median difference of these
-    moments is the difference of the clocks, up to the few milliseconds that the news takes.
+    Every process logs when it first learns of a backend server. The median difference of these
+    times is the clock offset, up to the few milliseconds that an update takes. Processes that share
+    no backend server with the reference process are left out.
     """
-    heard: dict[str, dict[str, float]] = {}
+    first_seen_s: dict[str, dict[str, float]] = {}
     for record in records:
         instance = record.fields.get("instance")
         if record.component in ("board", "registry") and isinstance(instance, str):
-            heard.setdefault(record.source, {}).setdefault(instance, record.time_s)
-    reference = heard.get(home, {})
+            first_seen_s.setdefault(record.source, {}).setdefault(instance, record.time_s)
+    reference_times_s = first_seen_s.get(reference_source, {})
     offsets = {}
-    for source, moments in heard.items():
+    for source, times_s in first_seen_s.items():
         differences = [
-            moment_s - reference[instance]
-            for instance, moment_s in moments.items()
-            if instance in reference
+            seen_s - reference_times_s[instance]
+            for instance, seen_s in times_s.items()
+            if instance in reference_times_s
         ]
         if differences:
             offsets[source] = statistics.median(differences)
     return offsets
 
 
-__all__ = ["StoryLine", "clock_offsets", "tell_story"]
+__all__ = ["TimelineEvent", "clock_offsets", "build_timeline"]
--- a/src/leadhollow/failure.py
+++ b/src/leadhollow/failure.py
@@ -1,4 +1,4 @@
-"""The error half of every result: a number, what happened, and where."""
+"""Defines the error value of results: a code, a detail and the offending field."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Failure:
-    """Why an operation did not succeed.
+    """Why an operation failed.
 
     Parameters
     ----------
     code
-        The numbered reason.
+        Result code.
     detail
-        One line for a person.
+        One readable line; the meaning of the code where empty.
     field
         Path of the offending field, empty where none applies.
     """
@@ -34,14 +34,14 @@
 
 
 def failure_from_number(number: int, detail: str) -> Failure:
-    """Rebuild a failure that a peer sent as a number.
+    """Build a failure from the number and detail that a peer sent.
 
     Parameters
     ----------
     number
-        The result number; one this release does not know becomes ``INTERNAL``.
+        Number of the result code; an unknown one becomes ``INTERNAL`` and is kept in the detail.
     detail
-        The peer's own line.
+        Detail that the peer sent.
     """
     code = code_of(number)
     if code is None:
--- a/src/leadhollow/http_client.py
+++ b/src/leadhollow/http_client.py
@@ -1,4 +1,4 @@
-"""Outgoing HTTP with results in place of exceptions."""
+"""HTTP client that returns failures as results instead of raising exceptions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class HttpReply:
-    """A whole HTTP answer."""
+    """A complete HTTP response."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -27,7 +27,10 @@
 
 
 class HttpClient:
-    """One connection pool; the library is imported when first used, to keep idle roles small."""
+    """HTTP client with one connection pool.
+
+    aiohttp is imported on first use, since it doubles the memory of a role that never needs it.
+    """
 
     __slots__ = ("_session",)
 
@@ -35,8 +38,8 @@
         self._session: aiohttp.ClientSession | None = None
 
     def session(self) -> aiohttp.ClientSession:
-        """Give the pool, opened on first use."""
-        import aiohttp  # imported late: it doubles the memory of a role that never needs it
+        """Return the session with the connection pool, opened on first use."""
+        import aiohttp  # imported late to save memory
 
         if self._session is None or self._session.closed:
             self._session = aiohttp.ClientSession(
@@ -56,16 +59,23 @@
         json: Any = None,
         timeout_s: float,
     ) -> Result[HttpReply, Failure]:
-        """Send a request and read the whole answer; a path as body is sent from its file.
+        """Send a request and read the whole response.
+
+        Parameters
+        ----------
+        body
+            Bytes to send, or the path of a file whose content is sent.
+        timeout_s
+            Time limit of the whole exchange.
 
         Errors
         ------
         PEER_ABSENT
-            No connection, so nothing was sent.
+            The connection failed; nothing was sent.
         PEER_LOST
             The connection broke; the request may have been carried out.
         PEER_TIMEOUT
-            No whole answer in time.
+            The response was not complete in time.
         """
         import aiohttp
 
@@ -91,7 +101,7 @@
             return Err(Failure(code=Code.PEER_LOST, detail=f"{url}: {error}"))
 
     async def close(self) -> None:
-        """Close the pool."""
+        """Close the connection pool."""
         if self._session is not None:
             await self._session.close()
 
--- a/src/leadhollow/operator_client.py
+++ b/src/leadhollow/operator_client.py
@@ -1,4 +1,4 @@
-"""Talks to the operators' listener of any state VM."""
+"""Client of the operators' listeners of the state VMs."""
 
 from __future__ import annotations
 
@@ -39,15 +39,20 @@
 
 
 class OperatorClient:
-    """Sends operators' requests to the first address that answers.
+    """Sends operators' requests to the first listener that responds.
 
     Parameters
     ----------
     urls
         Addresses of the operators' listeners, the preferred one first.
+    token
+        Operator token, sent with every request.
 
-    ``last_answer_stale`` tells whether the last answer came from a replica that could not make
-    sure that it had everything accepted before.
+    Attributes
+    ----------
+    last_answer_stale
+        Whether the last response came from a replica that could not confirm that it had all
+        changes accepted before.
     """
 
     __slots__ = ("_http", "_token", "_urls", "last_answer_stale")
@@ -63,11 +68,11 @@
         await self._http.close()
 
     async def rows(self) -> Result[list[RowReply], Failure]:
-        """List the table."""
+        """List all rows of the table."""
         return await self._get("/v1/table", list[RowReply])
 
     async def row(self, group: str) -> Result[RowReply, Failure]:
-        """Give one row."""
+        """Return the row of one group."""
         return await self._get(f"/v1/table/{group}", RowReply)
 
     async def versions(self) -> Result[list[VersionRecord], Failure]:
@@ -75,13 +80,13 @@
         return await self._get("/v1/versions", list[VersionRecord])
 
     async def history(self, group: str) -> Result[list[HistoryEntry], Failure]:
-        """List accepted changes, of all groups where none is named."""
+        """List accepted changes of one group, or of all groups where the name is empty."""
         return await self._get(
             f"/v1/history?group={group}" if group else "/v1/history", list[HistoryEntry]
         )
 
     async def status(self) -> Result[StatusReply, Failure]:
-        """Ask how the system stands."""
+        """Return the status of the system."""
         return await self._get("/v1/status", StatusReply)
 
     async def edit(
@@ -93,14 +98,14 @@
         dry_run: bool = False,
         operation_id: str = "",
     ) -> Result[EditReply, Failure]:
-        """Edit rows; a lost answer is asked for again by the same operation id.
+        """Edit rows; an edit without a response is sent to the next listener with the same id.
 
         Errors
         ------
         ROW_INVALID, REVISION_CONFLICT, VERSION_UNKNOWN
             Refused; nothing changed.
         EDIT_UNKNOWN
-            The operation id in the detail tells how to ask again.
+            The edit may have been accepted; the detail has the operation id to ask for it.
         """
         operation_id = operation_id or uuid.uuid4().hex
         body = {
@@ -115,7 +120,7 @@
     async def drain(
         self, server: str, *, draining: bool, operator: str
     ) -> Result[EditReply, Failure]:
-        """Send a backend server away, or take it back."""
+        """Drain a backend server, or cancel its drain."""
         operation_id = uuid.uuid4().hex
         body = {
             "operation_id": operation_id,
@@ -134,7 +139,7 @@
         origin_url: str,
         chunk_bytes: int = DEFAULT_CHUNK_BYTES,
     ) -> Result[VersionRecord, Failure]:
-        """Hash a model file, put it at the origin and make the version known."""
+        """Hash a model file, upload it to the origin and publish the version."""
         built = await asyncio.to_thread(
             build_manifest, path, model=model, version=version, chunk_bytes=chunk_bytes
         )
@@ -219,7 +224,7 @@
             last = _problem_failure(reply)
             may_be_accepted = may_be_accepted or last.code is Code.EDIT_UNKNOWN
             if last.code not in (Code.NO_MAJORITY, Code.EDIT_UNKNOWN):
-                break  # the operation id makes it safe to ask another replica after these two
+                break  # after these two, the operation id makes a retry elsewhere safe
         if may_be_accepted and method != "GET":
             return Err(Failure(code=Code.EDIT_UNKNOWN, detail=last.detail))
         return Err(last)
--- a/src/leadhollow/problem.py
+++ b/src/leadhollow/problem.py
@@ -1,4 +1,4 @@
-"""Failures as callers and operators get them over HTTP: problem details of RFC 9457."""
+"""Represents failures in HTTP responses as problem details of RFC 9457."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True, kw_only=True):
-    """Problem details of RFC 9457 with our own members."""
+    """Problem details of RFC 9457 with the extension members code, outcome and request_id."""
 
     type: str
     title: str
@@ -22,7 +22,7 @@
 
 
 def problem_of(failure: Failure, *, outcome: str, request_id: str) -> Problem:
-    """Describe a failure to a caller."""
+    """Build the problem details of a failure."""
     return Problem(
         type=f"urn:leadhollow:code:{int(failure.code)}",
         title=failure.code.title,
--- a/src/leadhollow/process.py
+++ b/src/leadhollow/process.py
@@ -1,4 +1,4 @@
-"""One process of the system: its roles' services, registered by name."""
+"""Assembles one process of the system from the services of its roles."""
 
 from __future__ import annotations
 
@@ -31,7 +31,8 @@
 class Process:
     """Builds the kernel of one process from its settings.
 
-    Modules of a role are imported only where the role is played: memory counts on small VMs.
+    The modules of a role are imported only in processes with that role, to save memory on small
+    VMs.
     """
 
     __slots__ = ("handlers", "kernel", "metrics", "peers", "settings", "state_client")
@@ -53,20 +54,20 @@
 
     @property
     def seed(self) -> int:
-        """Seed of this process's random choices."""
+        """Seed of the random choices of this process."""
         return zlib.crc32(self.settings.vm.encode())
 
     async def start(self) -> Result[None, Failure]:
         """Start all services."""
-        active_time.clock()  # holds are noted from the first moment on
+        active_time.clock()  # stalls of the loop are recorded from here on
         return await self.kernel.start()
 
     async def stop(self) -> bool:
-        """Drain and stop; tells whether all work in progress ended in time."""
+        """Drain and stop; returns whether all work in progress ended in time."""
         return await self.kernel.stop()
 
     async def kill(self) -> None:
-        """Stop at once, as a crash would."""
+        """Stop at once without draining, as in a crash."""
         await self.peers.stop()
         await self.kernel.kill()
 
@@ -203,7 +204,7 @@
     Returns
     -------
     Result
-        An error where it did not start.
+        A failure where the process did not start.
     """
     if settings.data_folder is not None:
         try:
--- a/src/leadhollow/run.py
+++ b/src/leadhollow/run.py
@@ -1,4 +1,4 @@
-"""Single entry of the program."""
+"""Entry point of the program."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import sys
 from pathlib import Path
 
-os.environ.setdefault("UV_USE_IO_URING", "0")  # read by libuv when the first loop is made
+os.environ.setdefault("UV_USE_IO_URING", "0")  # libuv reads it when the first loop is created
 
 
 def run() -> None:
     """Run the command line and exit with its code.
 
-    A daemon does not import the command line: it would keep its memory for as long as it runs.
+    A daemon does not import the command line, since that would take memory for its whole run.
     """
     arguments = sys.argv[1:]
     if arguments == ["platform"]:
-        # it may come at any moment, and ends a process that has no handler for it yet
+        # SIGHUP may come before the handler is installed, and would end the process
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         from leadhollow.platform.serve import serve as serve_platform
 
--- a/src/leadhollow/version.py
+++ b/src/leadhollow/version.py
@@ -1,4 +1,4 @@
-"""Version of this release."""
+"""Version number of this release."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_application.py
+++ b/tests/cli/test_application.py
@@ -1,4 +1,4 @@
-"""The command line as a user runs it."""
+"""Tests of the command line, run as a user runs it in a process of its own."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 def run(*arguments: str, **variables: str) -> subprocess.CompletedProcess[str]:
-    clean = {name: value for name, value in os.environ.items() if "LEADHOLLOW" not in name}
+    environment = {name: value for name, value in os.environ.items() if "LEADHOLLOW" not in name}
     return subprocess.run(
         [sys.executable, "-m", "leadhollow", *arguments],
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
-        env={**clean, **variables},
+        env={**environment, **variables},
     )
 
 
@@ -32,54 +32,54 @@
         for command in (*commands, "quarantine list", "quarantine release", "servers"):
             assert command in listed
 
-    def test_of_a_command_says_what_it_does(self):
+    def test_help_of_a_command_describes_it(self):
         assert "without" not in run("table", "set", "--help").stderr
         assert "never reverts" in run("table", "set", "--help").stdout
 
 
 class TestExitCodes:
-    def test_an_unknown_command(self):
-        ended = run("fly")
-        assert (ended.returncode, ended.stderr.startswith("leadhollow: [201]")) == (2, True)
+    def test_unknown_command_exits_with_2(self):
+        completed = run("fly")
+        assert (completed.returncode, completed.stderr.startswith("leadhollow: [201]")) == (2, True)
 
-    def test_no_operator_address(self):
-        ended = run("status")
-        assert ended.returncode == 2
-        assert "LEADHOLLOW_OPERATORS" in ended.stderr
+    def test_missing_operator_address_exits_with_2(self):
+        completed = run("status")
+        assert completed.returncode == 2
+        assert "LEADHOLLOW_OPERATORS" in completed.stderr
 
-    def test_an_operator_that_does_not_answer(self):
-        ended = run("status", "--operators", "127.0.0.1:1")
-        assert ended.returncode == 2
-        assert "[202]" in ended.stderr
+    def test_unreachable_operator_exits_with_2(self):
+        completed = run("status", "--operators", "127.0.0.1:1")
+        assert completed.returncode == 2
+        assert "[202]" in completed.stderr
 
-    def test_a_missing_settings_file_starts_nothing(self, tmp_path):
-        ended = run("run", str(tmp_path / "absent.json"))
-        assert ended.returncode == 1
-        assert "absent.json: [101]" in ended.stderr
+    def test_missing_settings_file_exits_with_1(self, tmp_path):
+        completed = run("run", str(tmp_path / "absent.json"))
+        assert completed.returncode == 1
+        assert "absent.json: [101]" in completed.stderr
 
     @pytest.mark.parametrize("arguments", [("errors", "403"), ("errors", "--json")])
-    def test_errors(self, arguments):
-        ended = run(*arguments)
-        assert ended.returncode == 0
-        assert "MODEL_NOT_ALLOWED" in ended.stdout
+    def test_errors_lists_result_codes(self, arguments):
+        completed = run(*arguments)
+        assert completed.returncode == 0
+        assert "MODEL_NOT_ALLOWED" in completed.stdout
 
-    def test_an_unreadable_model(self):
-        ended = run("demo", "--model", "/absent/model")
-        assert ended.returncode == 2
-        assert "[204]" in ended.stderr
+    def test_unreadable_model_exits_with_2(self):
+        completed = run("demo", "--model", "/absent/model")
+        assert completed.returncode == 2
+        assert "[204]" in completed.stderr
 
 
 class TestCheck:
-    def test_good_files(self):
+    def test_valid_files_pass(self):
         files = [str(path) for path in (EXAMPLES / "ifrane").glob("*.json")]
         assert run("check", *files).returncode == 0
 
-    def test_a_damaged_file_is_named_by_field(self, tmp_path):
+    def test_invalid_file_is_reported_with_its_field(self, tmp_path):
         document = json.loads((EXAMPLES / "ifrane" / "ifrane-entry-1.json").read_text())
         document["wire"]["listen"] = "nowhere"
         path = tmp_path / "bad.json"
         path.write_text(json.dumps(document))
-        ended = run("check", str(path), "--json")
-        assert ended.returncode == 1
-        reported = json.loads(ended.stdout)
+        completed = run("check", str(path), "--json")
+        assert completed.returncode == 1
+        reported = json.loads(completed.stdout)
         assert (reported["code"], reported["field"]) == (103, "wire.listen")
--- a/tests/cli/test_quarantine_commands.py
+++ b/tests/cli/test_quarantine_commands.py
@@ -1,4 +1,4 @@
-"""The commands on requests in quarantine, as a user runs them against a control replica."""
+"""Tests of the quarantine commands, run as a user runs them against a control replica."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     return await asyncio.to_thread(run, *arguments, **variables)
 
 
-def with_held_request(folder: Path, work) -> None:
-    """Run with a site in which one request is in quarantine."""
+def with_quarantined_request(folder: Path, work) -> None:
+    """Start a site, get one request into quarantine and run the work on it."""
     crash_log = CrashLog()
 
-    async def go() -> None:
+    async def run_site() -> None:
         servers = [
             CrashingServer(number=number, service="service", crash_log=crash_log)
             for number in range(8)
@@ -32,22 +32,22 @@
         async with Site(folder=folder, servers=servers, entries=2) as site:
             await site.put_routes(route("/ask/", "service"))
             for entry in range(2):
-                await eventually(lambda entry=entry: served(site, entry), "an answer")
+                await eventually(lambda entry=entry: is_served(site, entry), "an answer")
             for number in range(4):
                 await site.post("/ask/p", POISON, entry=number % 2)
                 await asyncio.sleep(0.15)
             assert await site.post("/ask/p", POISON) == 503
             await work(site, crash_log, site._control_settings.wire_address)
 
-    asyncio.run(asyncio.wait_for(go(), 90))
+    asyncio.run(asyncio.wait_for(run_site(), 90))
 
 
-async def served(site: Site, entry: int) -> bool:
+async def is_served(site: Site, entry: int) -> bool:
     return await site.post("/ask/a", b"good", entry=entry) == 200
 
 
 class TestQuarantine:
-    def test_is_listed_shown_and_released(self, tmp_path):
+    def test_quarantined_request_is_listed_shown_and_released(self, tmp_path):
         async def work(site: Site, crash_log: CrashLog, replica: str) -> None:
             listed = json.loads((await ask("quarantine", "list", replica, "--json")).stdout)
             assert [found["released"] for found in listed] == [False]
@@ -64,27 +64,27 @@
             assert "held" not in (await ask("quarantine", "list", replica)).stdout
             assert "released" in (await ask("quarantine", "list", replica, "--all")).stdout
 
-        with_held_request(tmp_path, work)
+        with_quarantined_request(tmp_path, work)
 
     @pytest.mark.parametrize(
         ("fingerprint", "code"), [(UNKNOWN, "[412]"), ("no digits", "[413]"), ("", "[413]")]
     )
-    def test_of_a_request_that_nobody_knows_changes_nothing(self, tmp_path, fingerprint, code):
+    def test_release_of_an_unknown_fingerprint_changes_nothing(self, tmp_path, fingerprint, code):
         async def work(site: Site, crash_log: CrashLog, replica: str) -> None:
-            ended = await ask("quarantine", "release", replica, fingerprint)
-            assert (ended.returncode, code in ended.stderr) == (4, True)
+            completed = await ask("quarantine", "release", replica, fingerprint)
+            assert (completed.returncode, code in completed.stderr) == (4, True)
             assert await site.post("/ask/p", POISON, entry=1) == 503
 
-        with_held_request(tmp_path, work)
+        with_quarantined_request(tmp_path, work)
 
-    def test_is_not_told_to_who_has_no_right(self, tmp_path):
+    def test_release_with_a_wrong_token_is_refused(self, tmp_path):
         async def work(site: Site, crash_log: CrashLog, replica: str) -> None:
             arguments = ("quarantine", "release", replica, UNKNOWN)
-            ended = await ask(*arguments, LEADHOLLOW_WIRE_TOKEN="another")
-            assert (ended.returncode, "[704]" in ended.stderr) == (7, True)
+            completed = await ask(*arguments, LEADHOLLOW_WIRE_TOKEN="another")
+            assert (completed.returncode, "[704]" in completed.stderr) == (7, True)
 
-        with_held_request(tmp_path, work)
+        with_quarantined_request(tmp_path, work)
 
-    def test_of_a_replica_that_is_not_there(self):
-        ended = run("quarantine", "list", "127.0.0.1:1")
-        assert (ended.returncode, "[705]" in ended.stderr) == (7, True)
+    def test_unreachable_replica_exits_with_7(self):
+        completed = run("quarantine", "list", "127.0.0.1:1")
+        assert (completed.returncode, "[705]" in completed.stderr) == (7, True)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test folders share."""
+"""Fixtures of several test folders, and the handling of known failures."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 ROOT = Path(__file__).parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-"""Tests that fail for a known fault: one a line, its name first, then the cause and the issue."""
+"""Tests that fail for a known fault, one per line: node id, then cause and issue."""
 
 
 def known_red() -> dict[str, str]:
-    """Give the listed lines by the name of their test."""
+    """Return the lines of the list by the node id of their test."""
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines() if KNOWN_RED.exists() else []
     return {line.split()[0]: line for line in lines if line.strip()}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let only the listed tests fail; one that passes has to leave the list."""
+    """Expect the listed tests to fail; a listed test that passes is an error."""
     listed = known_red()
     for item in items:
         if item.nodeid in listed:
@@ -28,20 +28,20 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list."""
+    """Print the list of known failures."""
     for line in known_red().values():
         terminalreporter.write_line(f"known red: {line}")
 
 
 @pytest.fixture
 def project_root() -> Path:
-    """Give the root of the checkout."""
+    """Return the root folder of the checkout."""
     return ROOT
 
 
 @pytest.fixture
 async def replica_group(tmp_path: Path):
-    """Give three running state replicas on loopback."""
+    """Start three state replicas on loopback; stop them after the test."""
     group = ReplicaGroup(folder=tmp_path, count=3)
     await group.start_all()
     yield group
--- a/tests/other_loop.py
+++ b/tests/other_loop.py
@@ -1,4 +1,4 @@
-"""A second event loop on a thread: what runs there goes on while the loop of a test is held up."""
+"""A second event loop in a thread, which keeps running while the loop of the test stalls."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OtherLoop:
-    """Runs coroutines elsewhere; entered and left by the thread that tests run on."""
+    """Runs coroutines on an event loop in another thread; a context manager for the test thread."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -27,31 +27,31 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.run(self._end_all())
+        self.run(self._cancel_all())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
         self._loop.close()
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Give the outcome of some work; the caller's own loop stands still meanwhile."""
+        """Run a coroutine and return its result; blocks the thread and the loop of the caller."""
         return asyncio.run_coroutine_threadsafe(work, self._loop).result(timeout=30)
 
-    async def _end_all(self) -> None:
-        rest = asyncio.all_tasks() - {asyncio.current_task()}
-        for task in rest:
+    async def _cancel_all(self) -> None:
+        remaining = asyncio.all_tasks() - {asyncio.current_task()}
+        for task in remaining:
             task.cancel()
-        await asyncio.gather(*rest, return_exceptions=True)
+        await asyncio.gather(*remaining, return_exceptions=True)
 
 
 async def hold_up(hold_s: float, *, after_s: float = 0.02) -> None:
-    """Keep the running loop from going round for a time, in a callback of its own."""
+    """Stall the running loop for a time, by a blocking callback."""
     active_time.clock()
     asyncio.get_running_loop().call_later(after_s, time.sleep, hold_s)
     await asyncio.sleep(after_s + hold_s)
 
 
 def run_on(loop_name: str, work: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
-    """Run a test's work on a loop of a kind."""
+    """Run the coroutine of a test on an event loop of the named kind."""
     with asyncio.Runner(loop_factory=LOOPS[loop_name]) as runner:
         return runner.run(asyncio.wait_for(work(), 30))
 
--- a/tests/raw_http.py
+++ b/tests/raw_http.py
@@ -1,4 +1,4 @@
-"""Raw sockets on loopback: callers and backend servers that send exactly what they are told."""
+"""Callers and backend servers on loopback that send exact bytes over raw sockets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RawCaller:
-    """One connection to a server."""
+    """Client side of one connection, also used by scripts for the server side."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -33,7 +33,7 @@
             return await self.reader.readuntil(mark)
 
     async def read_answer(self) -> tuple[bytes, bytes]:
-        """Read head and body of an answer with a length."""
+        """Read head and body of a response with a Content-Length."""
         head = await self.read_until(b"\r\n\r\n")
         length = 0
         for line in head.split(b"\r\n"):
@@ -51,8 +51,8 @@
         self.writer.close()
 
     def reset(self) -> None:
-        opened = self.writer.get_extra_info("socket")
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        raw_socket = self.writer.get_extra_info("socket")
+        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.writer.transport.abort()
 
 
@@ -60,7 +60,7 @@
 
 
 class RawServer:
-    """A backend server that runs a script on each connection."""
+    """Backend server that runs a script on each connection."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Small helpers of the tests: polling, and replicas of the log on loopback."""
+"""Helpers of the tests: polling, free ports, and groups of state replicas on loopback."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 async def eventually(check: Callable[[], object], what: str = "condition") -> object:
-    """Poll until a check gives something true."""
+    """Poll until a check returns a true value, and return that value."""
     deadline_s = time.monotonic() + PATIENCE_S
     while time.monotonic() < deadline_s:
         found = check()
@@ -47,25 +47,28 @@
 
 
 class BlockingWork:
-    """Stands for work that blocks its thread until the event loop has gone round.
+    """Simulates work that blocks its thread until the event loop has run.
 
     Attributes
     ----------
     held_up_loop
-        Whether the loop did not: it was the loop's own thread that waited.
+        Whether the loop did not run in time, since the work blocked the thread of the loop.
     """
 
     def __init__(self) -> None:
-        self._went_round = threading.Event()
+        self._loop_ran = threading.Event()
         self.held_up_loop = False
-        asyncio.get_running_loop().call_later(0.05, self._went_round.set)
+        asyncio.get_running_loop().call_later(0.05, self._loop_ran.set)
 
     def __call__(self) -> None:
-        self.held_up_loop = not self._went_round.wait(2.0)
+        self.held_up_loop = not self._loop_ran.wait(2.0)
 
 
 def free_ports(hosts: Sequence[str], *, count: int = 2) -> int:
-    """Find the first of some ports that are free on all addresses, below outgoing connections."""
+    """Return the first of consecutive ports that are free on all hosts.
+
+    The range lies below the ports that the system gives to outgoing connections.
+    """
     while True:
         first = _ports.randrange(20_000, 30_000)
         try:
@@ -79,19 +82,19 @@
 
 
 def row(group: str, *, weight: float = 1.0, **fields: object) -> Row:
-    """Make a row with a key of its own."""
+    """Create a row with an API key of its own, derived from the group."""
     digest = hashlib.sha256(group.encode()).hexdigest()
     return Row(group=group, weight=weight, key_sha256s=(digest,), **fields)
 
 
 def edit(group: str, *, weight: float, expected: int, operation_id: str) -> EditRows:
-    """Make an edit of one row."""
+    """Create an edit of one row."""
     row_edit = RowEdit(group=group, expected_revision=expected, row=row(group, weight=weight))
     return EditRows(operation_id=operation_id, operator="test", edits=(row_edit,))
 
 
 class Node:
-    """One replica with its connections."""
+    """One state replica with its connections."""
 
     def __init__(self, group: ReplicaGroup, peer: PeerSettings) -> None:
         self.vm = peer.vm
@@ -114,19 +117,19 @@
         self.replica.register(self.handlers)
 
     async def start(self):
-        """Start, giving the replica's own answer."""
+        """Start the server and the replica; returns the result of the replica."""
         assert (await self.server.start()).is_ok()
         return await self.replica.start()
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop the connections, the replica and the server."""
         await self.peers.stop()
         await self.replica.stop()
         await self.server.stop()
 
 
 class ReplicaGroup:
-    """Replicas that can be stopped, wiped and cut off."""
+    """Group of state replicas that can be stopped, wiped and isolated."""
 
     def __init__(
         self,
@@ -174,28 +177,28 @@
             await self.stop(vm)
 
     def wipe(self, vm: str) -> None:
-        """Lose the disk of a stopped replica."""
+        """Delete the data of a stopped replica."""
         shutil.rmtree(self.folder / vm)
 
     def isolate(self, vm: str) -> None:
-        """Cut one replica off from the others, both ways."""
+        """Cut the connections between one replica and the others in both directions."""
         everyone = {peer.address for peer in self.peers}
         for name, node in self.nodes.items():
             own = {node.address}
             node.peers.cut(everyone - own if name == vm else {self.nodes[vm].address})
 
     def heal(self) -> None:
-        """Undo every cut."""
+        """Restore all connections."""
         for node in self.nodes.values():
             node.peers.cut(set())
 
     def leader(self) -> Node | None:
-        """Give the replica that leads and may answer."""
+        """Return the ready leader with the highest term, None without one."""
         ready = [node for node in self.nodes.values() if node.replica.ready()]
         return max(ready, key=lambda node: node.replica.term, default=None)
 
     async def wait_leader(self, *, other_than: str = "") -> Node:
-        """Wait for a leader."""
+        """Wait for a ready leader, optionally other than a given VM."""
 
         def found() -> Node | None:
             leader = self.leader()
@@ -204,7 +207,7 @@
         return await eventually(found, "a leader")
 
     async def wait_voters(self) -> None:
-        """Wait until every replica votes: one that has learned nothing yet is as good as lost."""
+        """Wait until every replica votes; one that has no data yet is as good as lost."""
 
         def found() -> bool:
             return all(node.replica.vote.voter for node in self.nodes.values())
@@ -212,7 +215,7 @@
         await eventually(found, "a vote of each replica")
 
     async def accept(self, group: str, weight: float, operation_id: str) -> Answer:
-        """Have an edit accepted, sending the same one again until its answer is known."""
+        """Propose an edit until it is applied, and return its answer."""
         leader = await self.wait_leader()
         item = leader.replica.machine.catalog.item(f"row/{group}")
         revision = 0 if item is None else item.revision
@@ -228,10 +231,10 @@
             leader = await self.wait_leader()
 
     def weights(self, vm: str) -> dict[str, float]:
-        """Give the weights that a replica's table names."""
+        """Return the weights by group in the table of a replica."""
         rows = self.nodes[vm].replica.machine.catalog.rows()
         return {stored.row.group: stored.row.weight for stored in rows}
 
     def roles(self) -> list[ReplicaRole]:
-        """Give the roles of all replicas."""
+        """Return the roles of all replicas."""
         return [node.replica.role for node in self.nodes.values()]
--- a/tests/test_codes.py
+++ b/tests/test_codes.py
@@ -1,4 +1,4 @@
-"""Result numbers: unique, classed and documented."""
+"""Tests that result codes are unique, grouped into classes and documented."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
         numbers = [int(code) for code in Code.__members__.values()]
         assert len(numbers) == len(set(numbers)) == len(Code.__members__)
 
-    def test_the_class_is_the_exit_code(self):
+    def test_exit_codes_are_the_classes_0_to_9(self):
         assert {code.exit_code for code in Code} == set(range(10))
 
-    def test_the_page_is_made_from_the_code(self, project_root):
+    def test_documentation_page_matches_the_codes(self, project_root):
         assert (project_root / "docs" / "ERRORS.md").read_text() == errors_page()
 
-    def test_an_unknown_number_of_a_newer_peer_is_kept_in_words(self):
+    def test_unknown_number_of_a_newer_peer_is_kept_in_the_detail(self):
         assert code_of(12_345) is None
         failure = failure_from_number(12_345, "new trouble")
         assert failure.code is Code.INTERNAL
--- a/tests/test_operator_client.py
+++ b/tests/test_operator_client.py
@@ -1,4 +1,4 @@
-"""What an operator is told of a change whose answer was lost on the way."""
+"""Tests of what the client reports for a change whose response was lost."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> bytes:
-    """Read a whole request, giving its body."""
+    """Read a whole request and return its body."""
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode().lower().split("\r\n")
     length = next(int(line.split(":")[1]) for line in lines if line.startswith("content-length"))
@@ -28,9 +28,9 @@
 
 
 def refuses(code: Code) -> Replica:
-    """Make a replica that answers with a problem."""
+    """Create a replica that responds with a problem document."""
 
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         problem = problem_of(Failure(code=code), outcome=Outcome.UNKNOWN, request_id="")
         body = msgspec.json.encode(problem)
@@ -41,17 +41,17 @@
         writer.write(head.encode() + body)
         writer.close()
 
-    return answer
+    return respond
 
 
-async def reads_and_hangs_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Take the request and lose the answer."""
+async def loses_response(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Read the request and close the connection without a response."""
     await read_request(reader)
     writer.close()
 
 
-async def change_at(*replicas: Replica | None) -> Failure:
-    """Send an edit to replicas in turn, None for one that is down; give what is heard of it."""
+async def failure_of_edit(*replicas: Replica | None) -> Failure:
+    """Send an edit to replicas in turn, None for one that is down; return the failure."""
     servers = []
     urls = []
     addresses = LoopbackAddresses()
@@ -71,27 +71,27 @@
     return changed.unwrap_err()
 
 
-class TestLostAnswer:
+class TestLostResponse:
     @pytest.mark.parametrize(
         "replicas",
         [
-            (reads_and_hangs_up, None),
-            (reads_and_hangs_up, refuses(Code.NO_MAJORITY)),
+            (loses_response, None),
+            (loses_response, refuses(Code.NO_MAJORITY)),
             (refuses(Code.EDIT_UNKNOWN), None),
             (refuses(Code.EDIT_UNKNOWN), refuses(Code.NO_MAJORITY)),
             (refuses(Code.EDIT_UNKNOWN), refuses(Code.OPERATOR_TOKEN)),
         ],
     )
-    async def test_is_unknown_whatever_later_replicas_say_of_themselves(self, replicas):
-        failure = await change_at(*replicas)
+    async def test_outcome_stays_unknown_whatever_later_replicas_respond(self, replicas):
+        failure = await failure_of_edit(*replicas)
         assert failure.code is Code.EDIT_UNKNOWN
         assert "op-7" in failure.detail
 
 
-class TestNothingSent:
-    async def test_is_said_where_no_replica_could_be_reached(self):
-        assert (await change_at(None, None)).code is Code.OPERATOR_UNREACHABLE
+class TestNothingAccepted:
+    async def test_is_reported_where_no_replica_is_reachable(self):
+        assert (await failure_of_edit(None, None)).code is Code.OPERATOR_UNREACHABLE
 
-    async def test_is_said_where_no_replica_had_a_majority(self):
-        failure = await change_at(refuses(Code.NO_MAJORITY), None)
+    async def test_is_reported_where_no_replica_has_a_majority(self):
+        failure = await failure_of_edit(refuses(Code.NO_MAJORITY), None)
         assert failure.code in (Code.NO_MAJORITY, Code.OPERATOR_UNREACHABLE)
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""Tests of how a process begins."""
+"""Tests of the entry point of the program."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class TestPlatformCommand:
-    def test_a_hang_up_while_it_starts_does_not_end_it(self, monkeypatch):
-        found = []
+    def test_ignores_sighup_while_it_starts(self, monkeypatch):
+        sighup_handlers = []
         adapter = types.ModuleType("leadhollow.platform.serve")
-        adapter.serve = lambda: found.append(signal.getsignal(signal.SIGHUP)) or 0
+        adapter.serve = lambda: sighup_handlers.append(signal.getsignal(signal.SIGHUP)) or 0
         monkeypatch.setitem(sys.modules, "leadhollow.platform.serve", adapter)
         monkeypatch.setattr(sys, "argv", ["leadhollow", "platform"])
         before = signal.getsignal(signal.SIGHUP)
         try:
-            with pytest.raises(SystemExit) as ended:
+            with pytest.raises(SystemExit) as raised:
                 run()
         finally:
             signal.signal(signal.SIGHUP, before)
-        assert ended.value.code == 0
-        assert found == [signal.SIG_IGN]
+        assert raised.value.code == 0
+        assert sighup_handlers == [signal.SIG_IGN]
