--- a/src/leadhollow/bench/request_path.py
+++ b/src/leadhollow/bench/request_path.py
@@ -23,7 +23,7 @@
 from leadhollow.decide.server import Server
 from leadhollow.decide.share_allocator import EntryDemand, LimitedServer, ShareAllocator
 from leadhollow.experiment.patterns import ENGINE
-from leadhollow.experiment.view import OneVersion, View
+from leadhollow.experiment.server_view import ServerView, SingleVersion
 from leadhollow.failure import Failure
 from leadhollow.forward.dialect import ResponseMetadata
 from leadhollow.forward.events import EventSplitter
@@ -150,13 +150,13 @@
 
 
 def _choice_cost(engines: int) -> ChoiceCost:
-    view = View()
+    view = ServerView()
     for number in range(engines):
         server = _server(number)
         view.by_address[server.instance.address] = server
     queue = EngineQueue(
         directory=view,
-        versions=OneVersion(),
+        versions=SingleVersion(),
         failure_domain=OWN_DOMAIN,
         seed=1,
         clock=time.monotonic,
@@ -174,7 +174,7 @@
     )
 
 
-def _decide(view: View, queue: EngineQueue) -> None:
+def _decide(view: ServerView, queue: EngineQueue) -> None:
     view.changed()
     now_s = time.monotonic()
     wish = EngineRequest(
--- a/src/leadhollow/cli/experiment_command.py
+++ b/src/leadhollow/cli/experiment_command.py
@@ -119,9 +119,9 @@
     def simulate(self, seeds: int) -> dict[tuple[str, str], dict[str, float]]:
         """Simulate each pattern with each kind of memory."""
         return {
-            (pattern, memory.value): crashes.play(pattern, memory, seeds=seeds)
+            (pattern, memory.value): crashes.run_pattern(pattern, memory, seeds=seeds)
             for pattern in crashes.PATTERNS
-            for memory in crashes.Memory
+            for memory in crashes.CrashMemory
         }
 
 
@@ -136,9 +136,9 @@
     def simulate(self, seeds: int) -> dict[tuple[str, str], dict[str, float]]:
         """Simulate each pattern with each way to keep the limits."""
         return {
-            (pattern, way.value): limits.play(pattern, way, seeds=seeds)
+            (pattern, way.value): limits.run_pattern(pattern, way, seeds=seeds)
             for pattern in limit_patterns.PATTERNS
-            for way in limit_patterns.Way
+            for way in limit_patterns.LimitMethod
         }
 
 
--- a/src/leadhollow/experiment/callers.py
+++ b/src/leadhollow/experiment/callers.py
@@ -26,29 +26,29 @@
         "domain",
         "done",
         "events",
-        "first_s",
+        "arrival_s",
         "kind",
-        "outcome_s",
+        "latency_s",
         "prompt_tokens",
-        "refused_again",
-        "repeats",
-        "sent_in_rest",
+        "retry_refused",
+        "resends",
+        "sent_in_backoff",
     )
 
     def __init__(
-        self, *, kind: RequestKind, domain: str, first_s: float, prompt_tokens: int, events: int
+        self, *, kind: RequestKind, domain: str, arrival_s: float, prompt_tokens: int, events: int
     ) -> None:
         self.kind = kind
         self.domain = domain
-        self.first_s = first_s
+        self.arrival_s = arrival_s
         self.prompt_tokens = prompt_tokens
         self.events = events
         self.attempts = 0
-        self.outcome_s: float | None = None
+        self.latency_s: float | None = None
         self.done = False
-        self.refused_again = False
-        self.repeats = 0
-        self.sent_in_rest = 0
+        self.retry_refused = False
+        self.resends = 0
+        self.sent_in_backoff = 0
 
 
 def draw_callers(scenario: Scenario, seed: int) -> list[Caller]:
@@ -72,7 +72,7 @@
             caller = Caller(
                 kind=kind,
                 domain=source.choices(domains, weights=shares)[0],
-                first_s=now_s,
+                arrival_s=now_s,
                 prompt_tokens=_size(source, kind.prompt_tokens, kind.spread),
                 events=_size(source, kind.answer_events, kind.spread),
             )
--- a/src/leadhollow/experiment/crashes.py
+++ b/src/leadhollow/experiment/crashes.py
@@ -16,7 +16,7 @@
 from leadhollow.decide.quarantine_rules import SETTLE_S
 from leadhollow.decide.server_ends import ServerEnd
 from leadhollow.decide.suspects import SuspectTable
-from leadhollow.experiment.clock import Clock
+from leadhollow.experiment.virtual_clock import VirtualClock
 from leadhollow.forward.recent_successes import RecentSuccesses
 
 DOMAINS = 5
@@ -36,7 +36,7 @@
 LATE_S = 0.2  # after the third end no entry should send a request
 
 
-class Memory(Enum):
+class CrashMemory(Enum):
     """What is remembered of requests that were there when engines ended."""
 
     NONE = "none"
@@ -44,7 +44,7 @@
     SUSPECTS = "suspects"
 
 
-class Pattern(msgspec.Struct, frozen=True, kw_only=True):
+class CrashPattern(msgspec.Struct, frozen=True, kw_only=True):
     """What comes, and what ends by itself.
 
     Parameters
@@ -78,15 +78,15 @@
 
 
 PATTERNS = {
-    "one": Pattern(crashers=1),
-    "five": Pattern(crashers=5),
-    "one, all else": Pattern(crashers=1, ends_per_s=1.0, lost_domain_s=8.0, hot_share=0.1),
-    "none, all else": Pattern(ends_per_s=2.0, lost_domain_s=8.0, hot_share=0.1),
-    "new bodies": Pattern(crashers=1, new_bodies=True, copies=1),
+    "one": CrashPattern(crashers=1),
+    "five": CrashPattern(crashers=5),
+    "one, all else": CrashPattern(crashers=1, ends_per_s=1.0, lost_domain_s=8.0, hot_share=0.1),
+    "none, all else": CrashPattern(ends_per_s=2.0, lost_domain_s=8.0, hot_share=0.1),
+    "new bodies": CrashPattern(crashers=1, new_bodies=True, copies=1),
 }
 
 
-class Figures(msgspec.Struct, kw_only=True):
+class CrashFigures(msgspec.Struct, kw_only=True):
     """What one run gave.
 
     Parameters
@@ -136,15 +136,15 @@
         self.tried: set[_Engine] = set()
 
 
-class CrashWorld:
+class CrashSimulation:
     """One run of a pattern."""
 
-    def __init__(self, *, pattern: Pattern, memory: Memory, seed: int) -> None:
-        self.figures = Figures()
+    def __init__(self, *, pattern: CrashPattern, memory: CrashMemory, seed: int) -> None:
+        self.figures = CrashFigures()
         self._pattern = pattern
         self._memory = memory
         self._random = random.Random(seed)
-        self._clock = Clock()
+        self._clock = VirtualClock()
         self._engines = [_Engine(place % DOMAINS) for place in range(ENGINES)]
         self._good = [RecentSuccesses() for _ in range(ENTRIES)]
         self._table = SuspectTable(clock=lambda: self._clock.now_s)
@@ -153,7 +153,7 @@
         self._ends_s: dict[bytes, list[float]] = {}
         self._names = 0
 
-    def run(self) -> Figures:
+    def run(self) -> CrashFigures:
         """Let everything come, and give the figures."""
         pattern, clock = self._pattern, self._clock
         hot = self._name()
@@ -263,7 +263,7 @@
     def _go_on(self, attempt: _Attempt) -> None:
         if attempt.sends < SENDS:
             doubtful = len(self._table.suspected_lives(attempt.name)) + 1 >= HELD_BY_COUNT
-            waits = self._memory is Memory.SUSPECTS and doubtful
+            waits = self._memory is CrashMemory.SUSPECTS and doubtful
             wait_ms = VERDICT_WAIT_S * 1000 if waits else 0.3
             self._clock.after_ms(wait_ms, lambda: self._send(attempt))
         elif not attempt.last:
@@ -274,9 +274,9 @@
 
     def _tell(self, life: str, entry: int, names: set[bytes]) -> None:
         now_s = self._clock.now_s
-        if self._memory is Memory.COUNT:
+        if self._memory is CrashMemory.COUNT:
             self._later(FOUND_S, lambda: self._count(names))
-        elif self._memory is Memory.SUSPECTS:
+        elif self._memory is CrashMemory.SUSPECTS:
             ran = {name for name in names if not self._good[entry].contains(name, now_s)}
             end = ServerEnd(life=life, ran=ran, happened_s=now_s)
             self._later(FOUND_S, lambda: self._later(WAY_S, lambda: self._take(end)))
@@ -311,7 +311,7 @@
 
     def _break_off(self, name: bytes) -> None:
         """Let engines drop what runs of a request that is held."""
-        if self._memory is Memory.SUSPECTS:
+        if self._memory is CrashMemory.SUSPECTS:
             for engine in self._engines:
                 engine.running = {one: None for one in engine.running if one.name != name}
 
@@ -319,16 +319,17 @@
         self._clock.after_ms(self._random.uniform(*way_s) * 1000, work)
 
 
-def play(name: str, memory: Memory, *, seeds: int) -> dict[str, float]:
+def run_pattern(name: str, memory: CrashMemory, *, seeds: int) -> dict[str, float]:
     """Play a pattern with some seeds; gives the mean of each figure, and the worst of the worst."""
     runs = [
-        CrashWorld(pattern=PATTERNS[name], memory=memory, seed=seed).run() for seed in range(seeds)
+        CrashSimulation(pattern=PATTERNS[name], memory=memory, seed=seed).run()
+        for seed in range(seeds)
     ]
     means = {
         figure: round(sum(getattr(run, figure) for run in runs) / seeds, 2)
-        for figure in Figures.__struct_fields__
+        for figure in CrashFigures.__struct_fields__
     }
     return {**means, "worst_lost": max(run.worst_lost for run in runs)}
 
 
-__all__ = ["PATTERNS", "CrashWorld", "Figures", "Memory", "Pattern", "play"]
+__all__ = ["PATTERNS", "CrashWorld", "CrashFigures", "CrashMemory", "CrashPattern", "run_pattern"]
--- a/src/leadhollow/experiment/rests.py
+++ b/src/leadhollow/experiment/emulated_backoffs.py
@@ -9,12 +9,12 @@
 from leadhollow.decide.server import Server
 from leadhollow.decide.server_backoff import ServerBackoff
 from leadhollow.decide.server_load import OwnCall
-from leadhollow.experiment.clock import Clock
+from leadhollow.experiment.virtual_clock import VirtualClock
 
 GRACE_S = 0.5  # after an engine asked for rest, until what still arrives there counts
 
 
-class EmulatedRests:
+class EmulatedBackoffs:
     """Which engines turn away, and the rests that they asked for.
 
     Parameters
@@ -23,37 +23,39 @@
         Rest that each asks for.
     """
 
-    __slots__ = ("_asked", "_clock", "_policy", "_random", "rest_s", "turning_away")
+    __slots__ = ("_asked", "_clock", "_policy", "_random", "backoff_s", "refusing")
 
-    def __init__(self, *, clock: Clock, policy: QueuePolicy, rest_s: float, seed: int) -> None:
+    def __init__(
+        self, *, clock: VirtualClock, policy: QueuePolicy, backoff_s: float, seed: int
+    ) -> None:
         self._clock = clock
         self._policy = policy
         self._random = random.Random(seed)
         self._asked: dict[tuple[int, str], float] = {}  # by entry and address: when it was last
-        self.rest_s = rest_s
-        self.turning_away: set[str] = set()
+        self.backoff_s = backoff_s
+        self.refusing: set[str] = set()
 
-    def in_rest(self, entry: int, address: str) -> bool:
+    def in_backoff(self, entry: int, address: str) -> bool:
         """Tell whether a request that arrives from an entry now breaks a rest."""
         since_s = self._clock.now_s - self._asked.get((entry, address), float("-inf"))
-        return GRACE_S < since_s < self.rest_s
+        return GRACE_S < since_s < self.backoff_s
 
-    def ask(self, entry: int, server: Server) -> None:
+    def record_backoff(self, entry: int, server: Server) -> None:
         """Let an entry read the answer that asks for rest."""
         key = (entry, server.instance.address)
-        if not self.in_rest(*key):
+        if not self.in_backoff(*key):
             self._asked[key] = self._clock.now_s
         if self._policy.keeps_rests:
             server.backoff = server.backoff or self._new()
-            server.backoff.extend(self.rest_s)
+            server.backoff.extend(self.backoff_s)
 
-    def tell(self, server: Server) -> None:
+    def record_peer_backoff(self, server: Server) -> None:
         """Let another entry hear of it."""
         if self._policy.tells_rests:
             server.backoff = server.backoff or self._new()
-            server.backoff.record_peer_backoff(self.rest_s)
+            server.backoff.record_peer_backoff(self.backoff_s)
 
-    def answered(self, server: Server, call: OwnCall) -> None:
+    def record_success(self, server: Server, call: OwnCall) -> None:
         """Note that a server took a request."""
         if server.backoff is not None and server.backoff.ended_by(call):
             server.backoff = None
--- a/src/leadhollow/experiment/engine.py
+++ b/src/leadhollow/experiment/emulated_engine.py
@@ -24,22 +24,22 @@
         Called with its last event; False where the engine broke off.
     """
 
-    __slots__ = ("begun", "events", "on_end", "on_first", "prompt_tokens", "unread_tokens")
+    __slots__ = ("started", "events", "on_end", "on_first_event", "prompt_tokens", "unread_tokens")
 
     def __init__(
         self,
         *,
         prompt_tokens: int,
         events: int,
-        on_first: Callable[[], None],
+        on_first_event: Callable[[], None],
         on_end: Callable[[bool], None],
     ) -> None:
         self.prompt_tokens = prompt_tokens
         self.unread_tokens = prompt_tokens
         self.events = events
-        self.on_first = on_first
+        self.on_first_event = on_first_event
         self.on_end = on_end
-        self.begun = False
+        self.started = False
 
 
 class EmulatedEngine:
@@ -53,10 +53,12 @@
 
     __slots__ = ("_after", "_model", "_passing", "_running", "_spec", "_waiting", "serving")
 
-    def __init__(self, *, spec: EngineSpec, after: Callable[[float, Callable[[], None]], None]):
+    def __init__(
+        self, *, spec: EngineSpec, call_after_ms: Callable[[float, Callable[[], None]], None]
+    ):
         self._spec = spec
         self._model = EngineLatencyModel(spec=spec)
-        self._after = after
+        self._after = call_after_ms
         self._running: list[EngineTask] = []
         self._waiting: deque[EngineTask] = deque()
         self._passing = False
@@ -67,7 +69,7 @@
         """Requests that run or wait."""
         return len(self._running) + len(self._waiting)
 
-    def take(self, task: EngineTask) -> None:
+    def submit(self, task: EngineTask) -> None:
         """Take a request."""
         if not self.serving:
             self._after(0.0, lambda: task.on_end(False))
@@ -113,9 +115,9 @@
         for task in writers:
             if task not in self._running:
                 continue  # broken off meanwhile
-            if not task.begun:
-                task.begun = True
-                self._after(FIRST_MS, task.on_first)
+            if not task.started:
+                task.started = True
+                self._after(FIRST_MS, task.on_first_event)
             task.events -= 1
             if task.events <= 0:
                 self._running.remove(task)
--- a/src/leadhollow/experiment/relay.py
+++ b/src/leadhollow/experiment/emulated_relay.py
@@ -6,9 +6,9 @@
 
 from leadhollow.decide.pressure import DecisionCounts
 from leadhollow.decide.server import Server
-from leadhollow.experiment.clock import Clock
-from leadhollow.experiment.entry import SERVICE, Entry
+from leadhollow.experiment.emulated_entry import SERVICE, EmulatedEntry
 from leadhollow.experiment.scenario import Scenario
+from leadhollow.experiment.virtual_clock import VirtualClock
 from leadhollow.membership.uses import Use
 
 GATHER_MS = 14.0  # changes within it travel together, in two steps
@@ -28,7 +28,12 @@
     __slots__ = ("_clock", "_dirty", "_entries", "_far_ms", "_near_ms", "_shares_pressure")
 
     def __init__(
-        self, *, clock: Clock, scenario: Scenario, entries: list[Entry], shares_pressure: bool
+        self,
+        *,
+        clock: VirtualClock,
+        scenario: Scenario,
+        entries: list[EmulatedEntry],
+        shares_pressure: bool,
     ) -> None:
         self._clock = clock
         self._entries = entries
@@ -37,7 +42,9 @@
         self._shares_pressure = shares_pressure
         self._dirty: set[str] = set()
 
-    def tell_rest(self, teller: Entry, address: str, hear: Callable[[Server], None]) -> None:
+    def publish_backoff(
+        self, teller: EmulatedEntry, address: str, hear: Callable[[Server], None]
+    ) -> None:
         """Let the other entries hear that an engine wants rest."""
         for entry in self._entries:
             if entry is not teller:
@@ -46,7 +53,7 @@
                 lag_ms = self._near_ms if near else self._far_ms
                 self._clock.after_ms(lag_ms, lambda server=server: hear(server))  # type: ignore[misc]
 
-    def tell(self, address: str) -> None:
+    def record_change(self, address: str) -> None:
         """Let all entries know, a little later, what others have at an engine."""
         if not self._dirty:
             self._clock.after_ms(GATHER_MS, self._send)
--- a/src/leadhollow/experiment/limit_patterns.py
+++ b/src/leadhollow/experiment/limit_patterns.py
@@ -7,7 +7,7 @@
 import msgspec
 
 
-class Way(Enum):
+class LimitMethod(Enum):
     """How entries keep a limit."""
 
     NONE = "not at all"
@@ -16,7 +16,7 @@
     LEASED = "leased shares"
 
 
-class Pattern(msgspec.Struct, frozen=True, kw_only=True):
+class LimitPattern(msgspec.Struct, frozen=True, kw_only=True):
     """What entries are asked, what servers limit, and what fails.
 
     Parameters
@@ -51,20 +51,20 @@
 
 
 PATTERNS = {
-    "one": Pattern(),
-    "one, few entries": Pattern(entries=3, servers=6, rate_per_s=80.0),
-    "one, many entries": Pattern(entries=98, domains=5, servers=102, rate_per_s=1_200.0),
-    "low": Pattern(limit_per_s=0.2),
-    "high": Pattern(limit_per_s=50.0, rate_per_s=1_200.0),
-    "ten": Pattern(limited=10, limit_per_s=5.0),
-    "all": Pattern(limited=39, limit_per_s=5.0),
-    "entries come and go": Pattern(lost=8, limit_per_s=5.0),
-    "half cut off": Pattern(cut=0.5, limit_per_s=5.0),
-    "no leader": Pattern(leader_away=True, limit_per_s=5.0),
+    "one": LimitPattern(),
+    "one, few entries": LimitPattern(entries=3, servers=6, rate_per_s=80.0),
+    "one, many entries": LimitPattern(entries=98, domains=5, servers=102, rate_per_s=1_200.0),
+    "low": LimitPattern(limit_per_s=0.2),
+    "high": LimitPattern(limit_per_s=50.0, rate_per_s=1_200.0),
+    "ten": LimitPattern(limited=10, limit_per_s=5.0),
+    "all": LimitPattern(limited=39, limit_per_s=5.0),
+    "entries come and go": LimitPattern(lost=8, limit_per_s=5.0),
+    "half cut off": LimitPattern(cut=0.5, limit_per_s=5.0),
+    "no leader": LimitPattern(leader_away=True, limit_per_s=5.0),
 }
 
 
-class Figures(msgspec.Struct, kw_only=True):
+class LimitFigures(msgspec.Struct, kw_only=True):
     """What one run gave.
 
     Parameters
@@ -89,4 +89,4 @@
     requests: int = 0
 
 
-__all__ = ["PATTERNS", "Figures", "Pattern", "Way"]
+__all__ = ["PATTERNS", "LimitFigures", "LimitPattern", "LimitMethod"]
--- a/src/leadhollow/experiment/limits.py
+++ b/src/leadhollow/experiment/limits.py
@@ -13,8 +13,8 @@
 from leadhollow.decide.limit_table import LimitTable, ServerLimit
 from leadhollow.decide.send_limiter import SendLimiter
 from leadhollow.decide.share_allocator import LEASE_S, EntryDemand, LimitedServer, ShareAllocator
-from leadhollow.experiment.clock import Clock
-from leadhollow.experiment.limit_patterns import PATTERNS, Figures, Pattern, Way
+from leadhollow.experiment.limit_patterns import PATTERNS, LimitFigures, LimitMethod, LimitPattern
+from leadhollow.experiment.virtual_clock import VirtualClock
 
 SERVICE = "model"
 ANSWER_S = (0.1, 0.3)  # until the head of an answer
@@ -43,7 +43,7 @@
 
 
 class _Entry:
-    __slots__ = ("alive", "allowances", "cut_off", "domain", "number", "requests_s", "table", "vm")
+    __slots__ = ("alive", "limiters", "cut_off", "domain", "number", "requests_s", "table", "vm")
 
     def __init__(self, *, number: int, vm: str, domain: str) -> None:
         self.number = number
@@ -52,7 +52,7 @@
         self.alive = True
         self.cut_off = False
         self.table = LimitTable()
-        self.allowances: dict[str, SendLimiter] = {}
+        self.limiters: dict[str, SendLimiter] = {}
         self.requests_s: list[float] = []
 
     def demand_per_s(self, now_s: float, window_s: float = 10.0) -> float:
@@ -60,15 +60,15 @@
         return recent / min(window_s, max(1.0, now_s))
 
 
-class LimitWorld:
+class LimitSimulation:
     """One run of a pattern with one way of keeping limits."""
 
-    def __init__(self, *, pattern: Pattern, way: Way, seed: int) -> None:
-        self.figures = Figures()
+    def __init__(self, *, pattern: LimitPattern, way: LimitMethod, seed: int) -> None:
+        self.figures = LimitFigures()
         self._pattern = pattern
         self._way = way
         self._random = random.Random(seed)
-        self._clock = Clock()
+        self._clock = VirtualClock()
         self._servers = [
             _Server(
                 number=number,
@@ -83,7 +83,7 @@
         self._ledger = ShareAllocator(clock=self._now_s, entries=self._count)
         self._leads_from_s = 0.0
 
-    def run(self) -> Figures:
+    def run(self) -> LimitFigures:
         """Let everything come, and give the figures."""
         pattern, clock = self._pattern, self._clock
         weights = [pattern.uneven if number % 5 == 0 else 1.0 for number in range(pattern.entries)]
@@ -143,15 +143,15 @@
         """Send a request to a limited server, which is idle, or to any other one."""
         idle = [
             life
-            for life, allowance in entry.allowances.items()
-            if self._way is not Way.NONE and allowance.admits()
+            for life, allowance in entry.limiters.items()
+            if self._way is not LimitMethod.NONE and allowance.admits()
         ]
-        others = [one for one in self._servers if one.life not in entry.allowances]
-        if self._way is Way.NONE:
+        others = [one for one in self._servers if one.life not in entry.limiters]
+        if self._way is LimitMethod.NONE:
             others = self._servers
         if idle:
             server = self._by_life[self._random.choice(idle)]
-            entry.allowances[server.life].try_acquire()
+            entry.limiters[server.life].try_acquire()
             self._send(entry, server)
         elif others:
             self._send(entry, self._random.choice(others))
@@ -185,25 +185,25 @@
     def _apply(self, entry: _Entry, life: str) -> None:
         per_s = entry.table.limit(life)
         if per_s is None:
-            if entry.allowances.pop(life, None) is not None:
+            if entry.limiters.pop(life, None) is not None:
                 late_s = self._clock.now_s - self._pattern.lifted_s
                 self.figures.full_again_s = max(self.figures.full_again_s, late_s)
             return
-        if life not in entry.allowances:
-            entry.allowances[life] = SendLimiter(
+        if life not in entry.limiters:
+            entry.limiters[life] = SendLimiter(
                 per_s=per_s,
                 entries=lambda: len(self._entries),
                 clock=self._now_s,
                 source=self._random,
             )
-            if self._way in (Way.ALONE, Way.EVEN):
-                part = 1.0 if self._way is Way.ALONE else 1.0 / len(self._entries)
-                entry.allowances[life].lease(part, until_s=float("inf"))
+            if self._way in (LimitMethod.ALONE, LimitMethod.EVEN):
+                part = 1.0 if self._way is LimitMethod.ALONE else 1.0 / len(self._entries)
+                entry.limiters[life].lease(part, until_s=float("inf"))
 
     def _tell(self, entry: _Entry, life: str) -> None:
         """Tell the leader of a limit, and through it everybody."""
         record = entry.table.record(life)
-        if record is None or self._way in (Way.NONE, Way.ALONE):
+        if record is None or self._way in (LimitMethod.NONE, LimitMethod.ALONE):
             return
         heard = record.copy()
 
@@ -225,7 +225,7 @@
             self._clock.after_ms(ASK_S * 1000, lambda: self._ask_again(entry))
 
     def _ask(self, entry: _Entry) -> None:
-        if self._way is not Way.LEASED or not entry.allowances:
+        if self._way is not LimitMethod.LEASED or not entry.limiters:
             return
         asked_s = self._clock.now_s
         demand = {SERVICE: entry.demand_per_s(asked_s)}
@@ -248,7 +248,7 @@
         shares = self._ledger.lease_shares(asked, servers)
 
         def give() -> None:
-            for life, allowance in entry.allowances.items():
+            for life, allowance in entry.limiters.items():
                 allowance.lease(shares.get(life, 0.0), until_s=asked_s + LEASE_S)
 
         self._later(entry, give)
@@ -292,9 +292,11 @@
     )
 
 
-def play(name: str, way: Way, *, seeds: int) -> dict[str, float]:
+def run_pattern(name: str, way: LimitMethod, *, seeds: int) -> dict[str, float]:
     """Play a pattern with some seeds; gives means, and of what is over its bound the worst."""
-    runs = [LimitWorld(pattern=PATTERNS[name], way=way, seed=seed).run() for seed in range(seeds)]
+    runs = [
+        LimitSimulation(pattern=PATTERNS[name], way=way, seed=seed).run() for seed in range(seeds)
+    ]
     over = [run.over_aim > 0 for run in runs]
     return {
         "over_aim": round(max(run.over_aim for run in runs), 2),
@@ -306,4 +308,4 @@
     }
 
 
-__all__ = ["LimitWorld", "play"]
+__all__ = ["LimitWorld", "run_pattern"]
--- a/src/leadhollow/experiment/outcome.py
+++ b/src/leadhollow/experiment/outcome.py
@@ -38,19 +38,19 @@
     sent_in_rest: float
 
 
-def judge(callers: Iterable[Caller]) -> Outcome:
+def summarise(callers: Iterable[Caller]) -> Outcome:
     """Sum up a run."""
     found = list(callers)
-    owed = [weight(caller) * caller.kind.worth for caller in found]
-    got = [weight(caller) * _earned(caller) for caller in found]
+    owed = [size_weight(caller) * caller.kind.worth for caller in found]
+    got = [size_weight(caller) * _earned(caller) for caller in found]
     in_vain = sum(
         REFUSED_AGAIN_COST * worth
         for caller, worth in zip(found, owed, strict=True)
-        if caller.refused_again
+        if caller.retry_refused
     )
     total = sum(owed) or 1.0
     on_time = sum(1 for caller in found if _on_time(caller))
-    served = sum(1 for caller in found if caller.outcome_s is not None)
+    served = sum(1 for caller in found if caller.latency_s is not None)
     return Outcome(
         worth=(sum(got) - in_vain) / total,
         by_kind=_shares([caller.kind.name for caller in found], got, owed),
@@ -58,30 +58,30 @@
         on_time=on_time / max(1, len(found)),
         late=(served - on_time) / max(1, len(found)),
         refused=(len(found) - served) / max(1, len(found)),
-        repeats=sum(caller.repeats for caller in found) / max(1, len(found)),
-        sent_in_rest=sum(caller.sent_in_rest for caller in found) / max(1, len(found)),
+        repeats=sum(caller.resends for caller in found) / max(1, len(found)),
+        sent_in_rest=sum(caller.sent_in_backoff for caller in found) / max(1, len(found)),
     )
 
 
-def worth_of(callers: Iterable[Caller]) -> float:
+def worth_share(callers: Iterable[Caller]) -> float:
     """Give the part of their worth that callers got, without the cost of coming back in vain."""
     found = list(callers)
-    owed = sum(weight(caller) * caller.kind.worth for caller in found)
-    return sum(weight(caller) * _earned(caller) for caller in found) / (owed or 1.0)
+    owed = sum(size_weight(caller) * caller.kind.worth for caller in found)
+    return sum(size_weight(caller) * _earned(caller) for caller in found) / (owed or 1.0)
 
 
-def weight(caller: Caller) -> float:
+def size_weight(caller: Caller) -> float:
     """Give how much a request counts by its size, as a part of its kind's worth."""
     size = caller.prompt_tokens / caller.kind.prompt_tokens
     return min(4.0, SIZE_FLOOR + (1 - SIZE_FLOOR) * size)
 
 
 def _on_time(caller: Caller) -> bool:
-    return caller.outcome_s is not None and caller.outcome_s <= caller.kind.objective_ms / MS_PER_S
+    return caller.latency_s is not None and caller.latency_s <= caller.kind.objective_ms / MS_PER_S
 
 
 def _earned(caller: Caller) -> float:
-    if caller.outcome_s is None:
+    if caller.latency_s is None:
         return 0.0
     return caller.kind.worth if _on_time(caller) else caller.kind.late_worth
 
@@ -95,4 +95,4 @@
     return {name: part / whole for name, (part, whole) in sorted(sums.items())}
 
 
-__all__ = ["Outcome", "judge", "weight", "worth_of"]
+__all__ = ["Outcome", "summarise", "size_weight", "worth_share"]
--- a/src/leadhollow/experiment/runner.py
+++ b/src/leadhollow/experiment/runner.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from leadhollow.decide.policy import QueuePolicy
-from leadhollow.experiment.bound import worth_bound
 from leadhollow.experiment.callers import draw_callers
-from leadhollow.experiment.outcome import Outcome, judge
+from leadhollow.experiment.outcome import Outcome, summarise
 from leadhollow.experiment.scenario import Scenario
-from leadhollow.experiment.world import World
+from leadhollow.experiment.simulation import Simulation
+from leadhollow.experiment.worth_limit import worth_bound
 
 NORMAL_95 = 1.96  # standard errors on either side of a mean that hold it in 95 cases of 100
 
@@ -55,9 +55,9 @@
 
 def run_once(scenario: Scenario, policy: QueuePolicy, seed: int) -> Outcome:
     """Play one seed."""
-    world = World(scenario=scenario, policy=policy, seed=seed)
+    world = Simulation(scenario=scenario, policy=policy, seed=seed)
     world.run()
-    return judge(world.callers)
+    return summarise(world.callers)
 
 
 def compare(
--- a/src/leadhollow/experiment/view.py
+++ b/src/leadhollow/experiment/server_view.py
@@ -9,7 +9,7 @@
 from leadhollow.membership.instances import InstanceState
 
 
-class OneVersion:
+class SingleVersion:
     """Weights that never change."""
 
     def oldest_allowed(self, model: str) -> int:
@@ -25,7 +25,7 @@
         return math.inf
 
 
-class View:
+class ServerView:
     """Engines as one entry sees them."""
 
     __slots__ = ("_listeners", "by_address")
@@ -56,4 +56,4 @@
             listener()
 
 
-__all__ = ["OneVersion", "View"]
+__all__ = ["OneVersion", "ServerView"]
--- a/src/leadhollow/experiment/world.py
+++ b/src/leadhollow/experiment/simulation.py
@@ -19,13 +19,13 @@
 from leadhollow.decide.policy import QueuePolicy
 from leadhollow.decide.server import Server
 from leadhollow.experiment.callers import Caller, draw_callers
-from leadhollow.experiment.clock import Clock
-from leadhollow.experiment.engine import EmulatedEngine, EngineTask
-from leadhollow.experiment.entry import SERVICE, Entry
-from leadhollow.experiment.relay import EmulatedRelay
-from leadhollow.experiment.rests import EmulatedRests
+from leadhollow.experiment.emulated_backoffs import EmulatedBackoffs
+from leadhollow.experiment.emulated_engine import EmulatedEngine, EngineTask
+from leadhollow.experiment.emulated_entry import SERVICE, EmulatedEntry
+from leadhollow.experiment.emulated_relay import EmulatedRelay
 from leadhollow.experiment.scenario import MS_PER_S, Scenario
-from leadhollow.experiment.view import OneVersion, View
+from leadhollow.experiment.server_view import ServerView, SingleVersion
+from leadhollow.experiment.virtual_clock import VirtualClock
 from leadhollow.membership.instances import Instance, InstanceState, ServedVersion
 from leadhollow.membership.uses import NO_USE
 from leadhollow.routing.model import ServiceRecord
@@ -37,7 +37,7 @@
 SETTLE_S = 8.0  # after the last arrival; every deadline has passed by then
 
 
-class World:
+class Simulation:
     """One run of a scenario.
 
     Parameters
@@ -61,14 +61,14 @@
 
     def __init__(self, *, scenario: Scenario, policy: QueuePolicy, seed: int) -> None:
         self.scenario = scenario
-        self.clock = Clock()
+        self.clock = VirtualClock()
         self._random = random.Random(seed)
-        self._rests = EmulatedRests(
-            clock=self.clock, policy=policy, rest_s=scenario.rest_s, seed=seed
+        self._rests = EmulatedBackoffs(
+            clock=self.clock, policy=policy, backoff_s=scenario.rest_s, seed=seed
         )
         self._service = ServiceRecord(name=SERVICE, engine=scenario.engine)
         self.engines: dict[str, EmulatedEngine] = {}
-        self.entries: list[Entry] = []
+        self.entries: list[EmulatedEntry] = []
         self._relay = EmulatedRelay(
             clock=self.clock,
             scenario=scenario,
@@ -82,7 +82,7 @@
                 address = f"{domain.name}-{place}"
                 domains[address] = domain.name
                 self.engines[address] = EmulatedEngine(
-                    spec=scenario.engine, after=self.clock.after_ms
+                    spec=scenario.engine, call_after_ms=self.clock.after_ms
                 )
         for domain in scenario.domains:
             for _ in range(domain.entries):
@@ -92,7 +92,7 @@
         """Let all callers come, and wait for their answers."""
         scenario = self.scenario
         for caller in self.callers:
-            self.clock.at(caller.first_s, lambda caller=caller: self._arrive(caller))  # type: ignore[misc]
+            self.clock.at(caller.arrival_s, lambda caller=caller: self._arrive(caller))  # type: ignore[misc]
         for change in scenario.changes:
             if change.engines_out is not None:
                 share = change.engines_out
@@ -114,7 +114,7 @@
     def _add_entry(
         self, name: str, domains: dict[str, str], policy: QueuePolicy, seed: int
     ) -> None:
-        view = View()
+        view = ServerView()
         for address, domain in domains.items():
             view.by_address[address] = Server(
                 instance=Instance(
@@ -135,17 +135,17 @@
                     ),
                     heard_s=0.0,
                 ),
-                on_use=self._relay.tell,
+                on_use=self._relay.record_change,
             )
         queue = EngineQueue(
             directory=view,
-            versions=OneVersion(),
+            versions=SingleVersion(),
             failure_domain=name,
             seed=seed,
             clock=lambda: self.clock.now_s,
             policy=policy,
         )
-        self.entries.append(Entry(domain=name, view=view, queue=queue))
+        self.entries.append(EmulatedEntry(domain=name, view=view, queue=queue))
 
     def _set_out(self, share: float) -> None:
         """Take part of each domain's engines out, or bring all back."""
@@ -165,7 +165,7 @@
 
     def _set_resting(self, share: float) -> None:
         """Let part of each domain's engines turn away what is new, and no others."""
-        self._rests.turning_away = {
+        self._rests.refusing = {
             f"{domain.name}-{place}"
             for domain in self.scenario.domains
             for place in range(round(domain.engines * share))
@@ -178,7 +178,7 @@
         caller.attempts += 1
         now_s = self.clock.now_s
         objective_s = caller.kind.objective_ms / MS_PER_S
-        deadline_s = caller.first_s + caller.kind.deadline_ms / MS_PER_S
+        deadline_s = caller.arrival_s + caller.kind.deadline_ms / MS_PER_S
         decide_s = now_s + objective_s * DECISION_DEADLINE_SHARE
         again = caller.attempts > 1
         wish = EngineRequest(
@@ -198,7 +198,7 @@
         )
         self._submit(entry, caller, wish)
 
-    def _submit(self, entry: Entry, caller: Caller, wish: EngineRequest) -> None:
+    def _submit(self, entry: EmulatedEntry, caller: Caller, wish: EngineRequest) -> None:
         waiter = entry.queue.submit(wish)
         if waiter.ended:
             self._placed(entry, caller, waiter)
@@ -206,7 +206,7 @@
         waiter.on_end = lambda: self._placed(entry, caller, waiter)
         self._watch(entry, waiter)
 
-    def _watch(self, entry: Entry, waiter: Waiter) -> None:
+    def _watch(self, entry: EmulatedEntry, waiter: Waiter) -> None:
         def look() -> None:
             if waiter.ended:
                 return
@@ -216,15 +216,15 @@
 
         self.clock.at(waiter.deadline_s, look)
 
-    def _placed(self, entry: Entry, caller: Caller, waiter: Waiter) -> None:
+    def _placed(self, entry: EmulatedEntry, caller: Caller, waiter: Waiter) -> None:
         placement = waiter.placement
         if placement is None:
             self._refused(entry, caller, waiter)
             return
         address = placement.server.instance.address
-        if address in self._rests.turning_away:
+        if address in self._rests.refusing:
             place = self.entries.index(entry)
-            caller.sent_in_rest += self._rests.in_rest(place, address)
+            caller.sent_in_backoff += self._rests.in_backoff(place, address)
             away_ms = 2 * self.scenario.way_ms
             self.clock.after_ms(
                 away_ms, lambda: self._turned_away(entry, caller, waiter, placement)
@@ -234,57 +234,59 @@
         task = EngineTask(
             prompt_tokens=caller.prompt_tokens,
             events=caller.events,
-            on_first=lambda: self.clock.after_ms(
+            on_first_event=lambda: self.clock.after_ms(
                 self.scenario.way_ms, lambda: self._first(caller, placement)
             ),
             on_end=lambda whole: self.clock.after_ms(
                 self.scenario.way_ms, lambda: self._ended(entry, caller, placement, whole)
             ),
         )
-        self.clock.after_ms(self.scenario.way_ms, lambda: engine.take(task))
+        self.clock.after_ms(self.scenario.way_ms, lambda: engine.submit(task))
 
     def _turned_away(
-        self, entry: Entry, caller: Caller, waiter: Waiter, placement: Placement
+        self, entry: EmulatedEntry, caller: Caller, waiter: Waiter, placement: Placement
     ) -> None:
         """Let an entry read that an engine wants rest, and try another one."""
         address = placement.server.instance.address
         place = self.entries.index(entry)
-        self._rests.ask(place, placement.server)
-        self._relay.tell_rest(entry, address, self._rests.tell)
+        self._rests.record_backoff(place, placement.server)
+        self._relay.publish_backoff(entry, address, self._rests.record_peer_backoff)
         entry.queue.release(placement)
         wish = waiter.request
         wish.excluded.add(address)
         wish.queue_priority = QueuePriority.RESUMED
         wish.decide_by_s = wish.hold_until_s = self.clock.now_s + RESUME_WAIT_S
-        caller.repeats += 1
+        caller.resends += 1
         if len(wish.excluded) >= MOST_SENDS:
             self._refused(entry, caller, waiter)
             return
         self._submit(entry, caller, wish)
 
-    def _refused(self, entry: Entry, caller: Caller, waiter: Waiter) -> None:
+    def _refused(self, entry: EmulatedEntry, caller: Caller, waiter: Waiter) -> None:
         if caller.attempts > 1:
-            caller.refused_again = True
+            caller.retry_refused = True
             caller.done = True
             return
         now_s = self.clock.now_s
-        left_s = caller.first_s + caller.kind.deadline_ms / MS_PER_S - now_s
+        left_s = caller.arrival_s + caller.kind.deadline_ms / MS_PER_S - now_s
         wait_s = min(entry.queue.retry_after_s(waiter.request), RETURN_SHARE * left_s)
         self.clock.at(now_s + wait_s, lambda: self._arrive(caller))
 
     def _first(self, caller: Caller, placement: Placement) -> None:
         now_s = self.clock.now_s
         placement.server.record_first_event(placement.call)
-        self._rests.answered(placement.server, placement.call)
+        self._rests.record_success(placement.server, placement.call)
         took_ms = (now_s - placement.call.placed_s) * MS_PER_S
         placement.server.record_lateness(took_ms - placement.call.predicted_ms, now_s)
-        caller.outcome_s = now_s - caller.first_s
+        caller.latency_s = now_s - caller.arrival_s
 
-    def _ended(self, entry: Entry, caller: Caller, placement: Placement, whole: bool) -> None:
+    def _ended(
+        self, entry: EmulatedEntry, caller: Caller, placement: Placement, whole: bool
+    ) -> None:
         entry.queue.release(placement)
         caller.done = whole
         if not whole:
-            caller.outcome_s = None
+            caller.latency_s = None
 
 
-__all__ = ["World"]
+__all__ = ["Simulation"]
--- a/src/leadhollow/experiment/clock.py
+++ b/src/leadhollow/experiment/virtual_clock.py
@@ -8,7 +8,7 @@
 from leadhollow.experiment.scenario import MS_PER_S
 
 
-class Clock:
+class VirtualClock:
     """Events in the order of virtual time."""
 
     __slots__ = ("_events", "_number", "now_s")
@@ -34,4 +34,4 @@
             work()
 
 
-__all__ = ["Clock"]
+__all__ = ["VirtualClock"]
--- a/src/leadhollow/experiment/bound.py
+++ b/src/leadhollow/experiment/worth_limit.py
@@ -14,7 +14,7 @@
 
 from leadhollow.decide.engine_latency import EngineLatencyModel
 from leadhollow.experiment.callers import Caller
-from leadhollow.experiment.outcome import weight
+from leadhollow.experiment.outcome import size_weight
 from leadhollow.experiment.scenario import MS_PER_S, Scenario
 
 STEP_S = 1.0  # seconds of engine time that have one price
@@ -44,15 +44,15 @@
         tokens = caller.events * spec.stride_steps
         self.read = caller.prompt_tokens / spec.read_tokens_per_s
         self.write = model.request_ms(0, tokens) / MS_PER_S
-        self.on_time = weight(caller) * caller.kind.worth
-        self.late = weight(caller) * caller.kind.late_worth
+        self.on_time = size_weight(caller) * caller.kind.worth
+        self.late = size_weight(caller) * caller.kind.late_worth
         lasts_s = caller.events * longest_pass_s
         objective_s = caller.kind.objective_ms / MS_PER_S
         deadline_s = caller.kind.deadline_ms / MS_PER_S
-        self.first = _step(caller.first_s)
-        self.read_by = _step(caller.first_s + objective_s)
-        self.written_by = _step(caller.first_s + objective_s + lasts_s)
-        self.late_by = _step(caller.first_s + deadline_s + lasts_s)
+        self.first = _step(caller.arrival_s)
+        self.read_by = _step(caller.arrival_s + objective_s)
+        self.written_by = _step(caller.arrival_s + objective_s + lasts_s)
+        self.late_by = _step(caller.arrival_s + deadline_s + lasts_s)
 
     def gain(self, prices: list[float]) -> float:
         """Give what it is worth beyond what it costs, nothing where it is not served."""
--- a/tests/experiment/test_limits.py
+++ b/tests/experiment/test_limits.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from leadhollow.experiment.limit_patterns import PATTERNS, Way
-from leadhollow.experiment.limits import play
+from leadhollow.experiment.limit_patterns import PATTERNS, LimitMethod
+from leadhollow.experiment.limits import run_pattern
 
 SEEDS = 2
 LIGHT = sorted(set(PATTERNS) - {"all"})
@@ -14,23 +14,23 @@
 class TestLeasedShares:
     @pytest.mark.parametrize("pattern", sorted(PATTERNS))
     def test_never_break_the_rule(self, pattern):
-        assert play(pattern, Way.LEASED, seeds=SEEDS)["over_rule"] == 0
+        assert run_pattern(pattern, LimitMethod.LEASED, seeds=SEEDS)["over_rule"] == 0
 
     @pytest.mark.parametrize("pattern", ["one", "one, few entries", "one, many entries", "ten"])
     def test_use_most_of_a_limit(self, pattern):
-        assert play(pattern, Way.LEASED, seeds=SEEDS)["used"] >= 0.8
+        assert run_pattern(pattern, LimitMethod.LEASED, seeds=SEEDS)["used"] >= 0.8
 
     @pytest.mark.parametrize("pattern", LIGHT)
     def test_refuse_nobody_whom_another_server_can_serve(self, pattern):
-        assert play(pattern, Way.LEASED, seeds=SEEDS)["refused"] == 0
+        assert run_pattern(pattern, LimitMethod.LEASED, seeds=SEEDS)["refused"] == 0
 
 
 class TestOtherWays:
     def test_break_the_rule_where_each_keeps_the_limit_alone(self):
-        assert play("one", Way.ALONE, seeds=1)["over_rule"] > 0
+        assert run_pattern("one", LimitMethod.ALONE, seeds=1)["over_rule"] > 0
 
     def test_leave_a_low_limit_unused_where_it_is_split_evenly(self):
-        assert play("one, many entries", Way.EVEN, seeds=1)["used"] < 0.1
+        assert run_pattern("one, many entries", LimitMethod.EVEN, seeds=1)["used"] < 0.1
 
     def test_break_the_rule_where_nobody_keeps_it(self):
-        assert play("one", Way.NONE, seeds=1)["over_rule"] > 0
+        assert run_pattern("one", LimitMethod.NONE, seeds=1)["over_rule"] > 0
--- a/tests/experiment/test_sizes.py
+++ b/tests/experiment/test_size_fairness.py
@@ -6,9 +6,9 @@
 
 from leadhollow.decide import engine_choice
 from leadhollow.decide.policy import QueuePolicy
-from leadhollow.experiment.outcome import worth_of
+from leadhollow.experiment.outcome import worth_share
 from leadhollow.experiment.patterns import patterns
-from leadhollow.experiment.world import World
+from leadhollow.experiment.simulation import Simulation
 
 SEEDS = (1, 2)
 LARGEST_TENTH = 0.9
@@ -18,12 +18,12 @@
     """Give what the largest tenth of the long requests gets, as a part of what all of them get."""
     found = []
     for seed in SEEDS:
-        world = World(scenario=patterns()["overload"], policy=QueuePolicy(), seed=seed)
+        world = Simulation(scenario=patterns()["overload"], policy=QueuePolicy(), seed=seed)
         world.run()
         callers = [caller for caller in world.callers if caller.kind.name == "long"]
         callers.sort(key=lambda caller: caller.prompt_tokens)
         largest = callers[int(LARGEST_TENTH * len(callers)) :]
-        found.append(worth_of(largest) / worth_of(callers))
+        found.append(worth_share(largest) / worth_share(callers))
     return statistics.fmean(found)
 
 
--- a/tests/experiment/test_bound.py
+++ b/tests/experiment/test_worth_limit.py
@@ -6,13 +6,13 @@
 import pytest
 
 from leadhollow.decide.policy import QueuePolicy
-from leadhollow.experiment.bound import worth_bound
 from leadhollow.experiment.callers import draw_callers
-from leadhollow.experiment.outcome import judge
+from leadhollow.experiment.outcome import summarise
 from leadhollow.experiment.patterns import patterns
 from leadhollow.experiment.runner import compare
 from leadhollow.experiment.scenario import Change, Scenario
-from leadhollow.experiment.world import World
+from leadhollow.experiment.simulation import Simulation
+from leadhollow.experiment.worth_limit import worth_bound
 
 LENGTH_S = 6.0
 
@@ -30,9 +30,9 @@
     @pytest.mark.parametrize("seed", [1, 2])
     def test_is_above_what_any_run_gets(self, name, seed):
         scenario = short(name)
-        world = World(scenario=scenario, policy=QueuePolicy(), seed=seed)
+        world = Simulation(scenario=scenario, policy=QueuePolicy(), seed=seed)
         world.run()
-        assert judge(world.callers).worth <= bound_of(scenario, seed) + 1e-9
+        assert summarise(world.callers).worth <= bound_of(scenario, seed) + 1e-9
 
     def test_is_all_where_engines_have_time_for_everybody(self):
         assert bound_of(short("usual")) == pytest.approx(1.0)
