--- a/src/leadhollow/experiment/__init__.py
+++ b/src/leadhollow/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Load patterns played in virtual time against the decisions that entries really run."""
+"""Simulations in virtual time that run load patterns against the decision objects of entries."""
--- a/src/leadhollow/experiment/callers.py
+++ b/src/leadhollow/experiment/callers.py
@@ -1,4 +1,7 @@
-"""Callers of one run, drawn before it begins: the same under every policy."""
+"""Callers of one run, drawn from a seed before the run begins.
+
+The callers of a seed are the same under every policy.
+"""
 
 from __future__ import annotations
 
@@ -9,29 +12,29 @@
 
 
 class Caller:
-    """One request of a caller, with its later attempt.
+    """One request of a caller and its retry.
 
     Attributes
     ----------
-    outcome_s
-        Time from its first attempt to the first event; None while there is none.
-    repeats
-        Times that it was sent to one more engine.
-    sent_in_rest
-        Times that it was sent to an engine that had asked its entry for rest.
+    latency_s
+        Time from the first attempt to the first event of the response; None without a response.
+    resends
+        Number of times that the request was sent to another engine.
+    sent_in_backoff
+        Number of times that it was sent to an engine that had asked its entry to back off.
     """
 
     __slots__ = (
+        "arrival_s",
         "attempts",
         "domain",
         "done",
         "events",
-        "arrival_s",
         "kind",
         "latency_s",
         "prompt_tokens",
-        "retry_refused",
         "resends",
+        "retry_refused",
         "sent_in_backoff",
     )
 
@@ -52,17 +55,17 @@
 
 
 def draw_callers(scenario: Scenario, seed: int) -> list[Caller]:
-    """Draw who comes when; independent of what becomes of them."""
-    source = random.Random(f"callers {seed}")
+    """Draw arrival times, failure domains and sizes, independent of the policy under test."""
+    rng = random.Random(f"callers {seed}")
     loads = [change for change in scenario.changes if change.load is not None]
-    most = max([1.0, *(change.load or 0.0 for change in loads)])
+    max_load = max([1.0, *(change.load or 0.0 for change in loads)])
     domains = [domain.name for domain in scenario.domains]
     shares = [domain.share for domain in scenario.domains]
-    found = []
+    callers = []
     for kind in scenario.kinds:
         now_s = 0.0
         while kind.per_s > 0:
-            now_s += source.expovariate(kind.per_s * most)
+            now_s += rng.expovariate(kind.per_s * max_load)
             if now_s >= scenario.length_s:
                 break
             load = 1.0
@@ -71,19 +74,19 @@
                     load = change.load or 0.0
             caller = Caller(
                 kind=kind,
-                domain=source.choices(domains, weights=shares)[0],
+                domain=rng.choices(domains, weights=shares)[0],
                 arrival_s=now_s,
-                prompt_tokens=_size(source, kind.prompt_tokens, kind.spread),
-                events=_size(source, kind.answer_events, kind.spread),
+                prompt_tokens=_draw_size(rng, kind.prompt_tokens, kind.spread),
+                events=_draw_size(rng, kind.answer_events, kind.spread),
             )
-            if source.random() < load / most:
-                found.append(caller)
-    return found
+            if rng.random() < load / max_load:
+                callers.append(caller)
+    return callers
 
 
-def _size(source: random.Random, mean: float, spread: float) -> int:
-    """Draw a size, at most three times the mean."""
-    drawn = source.lognormvariate(math.log(mean) - spread * spread / 2, spread)
+def _draw_size(rng: random.Random, mean: float, spread: float) -> int:
+    """Draw a log-normal size, limited to three times the mean."""
+    drawn = rng.lognormvariate(math.log(mean) - spread * spread / 2, spread)
     return max(1, round(min(drawn, 3 * mean)))
 
 
--- a/src/leadhollow/experiment/crashes.py
+++ b/src/leadhollow/experiment/crashes.py
@@ -1,8 +1,9 @@
-"""Engines that end under requests that come again, with and without a memory of the whole fleet.
+"""Simulation of requests that crash engines, with and without shared records of crashes.
 
-In virtual time, with the product's own table of suspects between entries that learn of ends, of
-good ends and of verdicts after the ways that these take. Engines run requests side by side; which
-one they go to is drawn among those with the least to do.
+Runs in virtual time with the product's own `SuspectTable`. Server ends, successful requests and
+quarantine decisions reach entries and the table after the delays that they have between processes.
+An engine runs several requests at once. A request goes to the least loaded of three engines, drawn
+at random from the failure domain of its entry.
 """
 
 from __future__ import annotations
@@ -23,21 +24,21 @@
 ENTRIES = 98
 ENGINES = 102
 SLOTS = 8
-"""The size of the larger of the users' deployments, with the engines that come during a day."""
+"""Size of a large deployment, including the engines that are added during a day."""
 
-RUN_S = (0.6, 1.8)  # shortest and longest run of a request
-RESTART_S = 2.5  # until an engine that ended takes requests again
-SENDS = 2  # engines that one attempt of a caller is sent to
-RETURN_S = 0.5  # until a caller whose attempt failed tries once more
-FOUND_S = (0.025, 0.04)  # until an entry knows that an engine has ended
-WAY_S = (0.003, 0.02)  # of news from entry to replica, or back
-VERDICT_WAIT_S = 0.13  # of an entry that may have ended a third engine
-HELD_BY_COUNT = 3  # of the baseline that counts ends and nothing else
-LATE_S = 0.2  # after the third end no entry should send a request
+RUN_DURATION_S = (0.6, 1.8)  # shortest and longest run time of a request
+RESTART_S = 2.5  # from the end of an engine until it accepts requests
+MAX_SENDS = 2  # engines that one attempt of a caller is sent to, at most
+RETRY_DELAY_S = 0.5  # until a caller retries a failed attempt
+DETECTION_DELAY_S = (0.025, 0.04)  # until an entry detects that an engine has ended
+ONE_WAY_S = (0.003, 0.02)  # delay between an entry and a control replica
+QUARANTINE_WAIT_S = 0.13  # delay before resending a request that may have ended a third engine
+QUARANTINE_COUNT = 3  # engine ends at which the COUNT baseline quarantines a request
+LATE_SEND_S = 0.2  # after the third end; later sends count as late
 
 
 class CrashMemory(Enum):
-    """What is remembered of requests that were there when engines ended."""
+    """What is recorded about requests that were running when engines ended."""
 
     NONE = "none"
     COUNT = "count of three"
@@ -45,24 +46,26 @@
 
 
 class CrashPattern(msgspec.Struct, frozen=True, kw_only=True):
-    """What comes, and what ends by itself.
+    """A load pattern with requests that crash engines and engines that end for other reasons.
 
     Parameters
     ----------
     crashers
-        Requests that end each engine that runs them.
+        Number of requests that crash every engine that runs them.
     every_s
-        Pause between two arrivals of each; at each it comes to that many entries at once.
+        Interval between arrivals of each such request.
+    copies
+        Number of copies of each arrival; each is sent to a random entry.
     new_bodies
-        Whether each arrival is another request of the same caller.
+        Whether each arrival has a new request body.
     crash_s
-        Time from sending it to the engine's end.
+        Time from sending such a request to the end of the engine.
     ends_per_s
-        Engines that end by themselves.
+        Rate of engines that end for other reasons.
     lost_domain_s
-        When all engines of a domain end together; never where it is 0.
+        Time at which all engines of one failure domain end; 0 for never.
     hot_share
-        Part of the others that are one and the same request.
+        Share of the other requests that have one and the same body.
     """
 
     crashers: int = 0
@@ -87,20 +90,20 @@
 
 
 class CrashFigures(msgspec.Struct, kw_only=True):
-    """What one run gave.
+    """Results of one run.
 
     Parameters
     ----------
     engines_lost
-        To requests that end engines.
+        Engines that crashing requests ended.
     others_broken
-        Innocent requests that were broken off with these.
-    others_held
-        Innocent requests that were ever held, and ``others_refused`` how often one was refused.
+        Other requests that were interrupted by these ends.
+    others_held, others_refused
+        Other requests that were quarantined, and the number of times that one was refused.
     late_sends
-        Of requests that end engines, later than 0.2 s after the third end under them.
+        Sends of crashing requests later than 0.2 s after the third engine that each ended.
     worst_lost
-        Engines that the worst of these requests ended.
+        Most engines that one request ended.
     """
 
     engines_lost: int = 0
@@ -119,19 +122,21 @@
         self.domain = domain
         self.life = 0
         self.ready = True
-        self.running: dict[_Attempt, None] = {}  # in the order in which they came
+        self.running: dict[_Attempt, None] = {}  # used as an ordered set
 
 
 class _Attempt:
     """One attempt of a caller at an entry."""
 
-    __slots__ = ("crasher", "entry", "last", "name", "sends", "tried")
+    __slots__ = ("crasher", "entry", "fingerprint", "is_last_attempt", "sends", "tried")
 
-    def __init__(self, *, name: bytes, entry: int, crasher: bool, last: bool) -> None:
-        self.name = name
+    def __init__(
+        self, *, fingerprint: bytes, entry: int, crasher: bool, is_last_attempt: bool
+    ) -> None:
+        self.fingerprint = fingerprint
         self.entry = entry
         self.crasher = crasher
-        self.last = last  # its caller comes no more
+        self.is_last_attempt = is_last_attempt  # its caller does not retry
         self.sends = 0
         self.tried: set[_Engine] = set()
 
@@ -145,182 +150,235 @@
         self._memory = memory
         self._random = random.Random(seed)
         self._clock = VirtualClock()
-        self._engines = [_Engine(place % DOMAINS) for place in range(ENGINES)]
-        self._good = [RecentSuccesses() for _ in range(ENTRIES)]
+        self._engines = [_Engine(index % DOMAINS) for index in range(ENGINES)]
+        self._recent_successes = [RecentSuccesses() for _ in range(ENTRIES)]
         self._table = SuspectTable(clock=lambda: self._clock.now_s)
         self._counts: dict[bytes, int] = {}
-        self._held: dict[bytes, float] = {}  # request, and from when entries know
+        self._quarantined_from_s: dict[bytes, float] = {}  # by request: when entries refuse it
         self._ends_s: dict[bytes, list[float]] = {}
-        self._names = 0
+        self._fingerprint_count = 0
 
     def run(self) -> CrashFigures:
-        """Let everything come, and give the figures."""
+        """Run the pattern and return its figures."""
         pattern, clock = self._pattern, self._clock
-        hot = self._name()
+        popular = self._new_fingerprint()
         for _ in range(int(pattern.rate_per_s * pattern.length_s)):
-            name = hot if self._random.random() < pattern.hot_share else self._name()
+            fingerprint = (
+                popular if self._random.random() < pattern.hot_share else self._new_fingerprint()
+            )
             at_s = self._random.uniform(0, pattern.length_s)
-            clock.at(at_s, lambda name=name: self._arrive(name, crasher=False))  # type: ignore[misc]
+            clock.call_at(
+                at_s,
+                lambda fingerprint=fingerprint: self._arrive(  # type: ignore[misc]
+                    fingerprint, crasher=False
+                ),
+            )
         for _ in range(pattern.crashers):
             self._plan_crasher()
         for _ in range(int(pattern.ends_per_s * pattern.length_s)):
             engine = self._random.choice(self._engines)
             at_s = self._random.uniform(0, pattern.length_s)
-            clock.at(at_s, lambda engine=engine: self._end(engine, None))  # type: ignore[misc]
+            clock.call_at(at_s, lambda engine=engine: self._end(engine, None))  # type: ignore[misc]
         if pattern.lost_domain_s:
             for engine in self._engines:
                 if engine.domain == 0:
                     at_s = pattern.lost_domain_s + self._random.uniform(0, 0.01)
-                    clock.at(at_s, lambda engine=engine: self._end(engine, None))  # type: ignore[misc]
-        clock.run(pattern.length_s + 10)
+                    clock.call_at(at_s, lambda engine=engine: self._end(engine, None))  # type: ignore[misc]
+        clock.run_until(pattern.length_s + 10)
         self.figures.worst_lost = max(map(len, self._ends_s.values()), default=0)
         return self.figures
 
     def _plan_crasher(self) -> None:
         pattern = self._pattern
-        name = self._name()
+        fingerprint = self._new_fingerprint()
         at_s = self._random.uniform(0.5, 0.5 + pattern.every_s)
         while at_s < pattern.length_s:
             if pattern.new_bodies:
-                name = self._name()
+                fingerprint = self._new_fingerprint()
             for _ in range(pattern.copies):
-                copy_s = at_s + self._random.uniform(0, 0.5)
-                self._clock.at(copy_s, lambda name=name: self._arrive(name, crasher=True))  # type: ignore[misc]
+                copy_at_s = at_s + self._random.uniform(0, 0.5)
+                self._clock.call_at(
+                    copy_at_s,
+                    lambda fingerprint=fingerprint: self._arrive(  # type: ignore[misc]
+                        fingerprint, crasher=True
+                    ),
+                )
             at_s += pattern.every_s
 
-    def _name(self) -> bytes:
-        self._names += 1
-        return self._names.to_bytes(16, "big")
+    def _new_fingerprint(self) -> bytes:
+        self._fingerprint_count += 1
+        return self._fingerprint_count.to_bytes(16, "big")
 
-    def _arrive(self, name: bytes, *, crasher: bool, last: bool = False) -> None:
+    def _arrive(self, fingerprint: bytes, *, crasher: bool, is_last_attempt: bool = False) -> None:
         entry = self._random.randrange(ENTRIES)
         self.figures.requests += 1
-        self._send(_Attempt(name=name, entry=entry, crasher=crasher, last=last))
+        self._send(
+            _Attempt(
+                fingerprint=fingerprint,
+                entry=entry,
+                crasher=crasher,
+                is_last_attempt=is_last_attempt,
+            )
+        )
 
     def _send(self, attempt: _Attempt) -> None:
-        if self._refuses(attempt):
+        if self._refuse_quarantined(attempt):
             return
-        free = [one for one in self._engines if one.ready and one not in attempt.tried]
-        if not free:
+        available = [
+            candidate
+            for candidate in self._engines
+            if candidate.ready and candidate not in attempt.tried
+        ]
+        if not available:
             return
-        near = [one for one in free if one.domain == attempt.entry % DOMAINS] or free
-        engine = min(self._random.sample(near, min(3, len(near))), key=lambda one: len(one.running))
+        local = [
+            candidate for candidate in available if candidate.domain == attempt.entry % DOMAINS
+        ] or available
+        engine = min(
+            self._random.sample(local, min(3, len(local))),
+            key=lambda candidate: len(candidate.running),
+        )
         if len(engine.running) >= SLOTS:
-            engine = min(free, key=lambda one: len(one.running))
+            engine = min(available, key=lambda candidate: len(candidate.running))
         attempt.sends += 1
         attempt.tried.add(engine)
         engine.running[attempt] = None
         if attempt.crasher:
-            ends_s = self._ends_s.get(attempt.name, [])
-            late = len(ends_s) >= HELD_BY_COUNT and self._clock.now_s > ends_s[2] + LATE_S
+            ends_s = self._ends_s.get(attempt.fingerprint, [])
+            late = len(ends_s) >= QUARANTINE_COUNT and self._clock.now_s > ends_s[2] + LATE_SEND_S
             self.figures.late_sends += late
-        run_s = self._pattern.crash_s if attempt.crasher else self._random.uniform(*RUN_S)
+        run_s = self._pattern.crash_s if attempt.crasher else self._random.uniform(*RUN_DURATION_S)
         life = engine.life
-        self._clock.after_ms(run_s * 1000, lambda: self._done(attempt, engine, life))
+        self._clock.call_after_ms(run_s * 1000, lambda: self._complete(attempt, engine, life))
 
-    def _refuses(self, attempt: _Attempt) -> bool:
-        held = self._clock.now_s >= self._held.get(attempt.name, float("inf"))
-        if held and not attempt.crasher:
+    def _refuse_quarantined(self, attempt: _Attempt) -> bool:
+        quarantined = self._clock.now_s >= self._quarantined_from_s.get(
+            attempt.fingerprint, float("inf")
+        )
+        if quarantined and not attempt.crasher:
             self.figures.others_refused += 1
-        return held
+        return quarantined
 
-    def _done(self, attempt: _Attempt, engine: _Engine, life: int) -> None:
+    def _complete(self, attempt: _Attempt, engine: _Engine, life: int) -> None:
         if engine.life != life or attempt not in engine.running:
             return
         if attempt.crasher:
             self._end(engine, attempt)
             return
         del engine.running[attempt]
-        self._good[attempt.entry].add(attempt.name, self._clock.now_s)
-        if self._table.suspected_lives(attempt.name):
-            self._later(WAY_S, lambda: self._clear(attempt.name))
+        self._recent_successes[attempt.entry].add(attempt.fingerprint, self._clock.now_s)
+        if self._table.suspected_lives(attempt.fingerprint):
+            self._after_delay(ONE_WAY_S, lambda: self._clear(attempt.fingerprint))
 
-    def _clear(self, name: bytes) -> None:
-        self._table.clear(name)
-        if not self._table.is_quarantined(name):
-            self._held.pop(name, None)
+    def _clear(self, fingerprint: bytes) -> None:
+        self._table.clear(fingerprint)
+        if not self._table.is_quarantined(fingerprint):
+            self._quarantined_from_s.pop(fingerprint, None)
 
-    def _end(self, engine: _Engine, cause: _Attempt | None) -> None:
-        """Let an engine end, and all who had requests there find out and go on elsewhere."""
+    def _end(self, engine: _Engine, crashing_attempt: _Attempt | None) -> None:
+        """End an engine, report its requests and retry them on other engines."""
         if not engine.ready:
             return
         now_s = self._clock.now_s
-        broken, engine.running = engine.running, {}
+        interrupted, engine.running = engine.running, {}
         life = f"{self._engines.index(engine)}@{engine.life}"
         engine.ready = False
         engine.life += 1
-        self._clock.after_ms(RESTART_S * 1000, lambda: setattr(engine, "ready", True))
-        if cause is not None:
+        self._clock.call_after_ms(RESTART_S * 1000, lambda: setattr(engine, "ready", True))
+        if crashing_attempt is not None:
             self.figures.engines_lost += 1
-            self.figures.others_broken += sum(1 for one in broken if not one.crasher)
-            self._ends_s.setdefault(cause.name, []).append(now_s)
-        for entry in sorted({one.entry for one in broken}):
-            names = {one.name for one in broken if one.entry == entry}
-            self._tell(life, entry, names)
-        for attempt in broken:
-            self._go_on(attempt)
-
-    def _go_on(self, attempt: _Attempt) -> None:
-        if attempt.sends < SENDS:
-            doubtful = len(self._table.suspected_lives(attempt.name)) + 1 >= HELD_BY_COUNT
-            waits = self._memory is CrashMemory.SUSPECTS and doubtful
-            wait_ms = VERDICT_WAIT_S * 1000 if waits else 0.3
-            self._clock.after_ms(wait_ms, lambda: self._send(attempt))
-        elif not attempt.last:
-            self._clock.after_ms(
-                RETURN_S * 1000,
-                lambda: self._arrive(attempt.name, crasher=attempt.crasher, last=True),
+            self.figures.others_broken += sum(1 for other in interrupted if not other.crasher)
+            self._ends_s.setdefault(crashing_attempt.fingerprint, []).append(now_s)
+        for entry in sorted({other.entry for other in interrupted}):
+            fingerprints = {other.fingerprint for other in interrupted if other.entry == entry}
+            self._report_end(life, entry, fingerprints)
+        for attempt in interrupted:
+            self._retry(attempt)
+
+    def _retry(self, attempt: _Attempt) -> None:
+        if attempt.sends < MAX_SENDS:
+            may_be_quarantined = (
+                len(self._table.suspected_lives(attempt.fingerprint)) + 1 >= QUARANTINE_COUNT
+            )
+            waits_for_verdict = self._memory is CrashMemory.SUSPECTS and may_be_quarantined
+            wait_ms = QUARANTINE_WAIT_S * 1000 if waits_for_verdict else 0.3
+            self._clock.call_after_ms(wait_ms, lambda: self._send(attempt))
+        elif not attempt.is_last_attempt:
+            self._clock.call_after_ms(
+                RETRY_DELAY_S * 1000,
+                lambda: self._arrive(
+                    attempt.fingerprint, crasher=attempt.crasher, is_last_attempt=True
+                ),
             )
 
-    def _tell(self, life: str, entry: int, names: set[bytes]) -> None:
+    def _report_end(self, life: str, entry: int, fingerprints: set[bytes]) -> None:
         now_s = self._clock.now_s
         if self._memory is CrashMemory.COUNT:
-            self._later(FOUND_S, lambda: self._count(names))
+            self._after_delay(DETECTION_DELAY_S, lambda: self._count_end(fingerprints))
         elif self._memory is CrashMemory.SUSPECTS:
-            ran = {name for name in names if not self._good[entry].contains(name, now_s)}
+            ran = {
+                fingerprint
+                for fingerprint in fingerprints
+                if not self._recent_successes[entry].contains(fingerprint, now_s)
+            }
             end = ServerEnd(life=life, ran=ran, happened_s=now_s)
-            self._later(FOUND_S, lambda: self._later(WAY_S, lambda: self._take(end)))
+            self._after_delay(
+                DETECTION_DELAY_S,
+                lambda: self._after_delay(ONE_WAY_S, lambda: self._merge_end(end)),
+            )
 
-    def _count(self, names: set[bytes]) -> None:
-        for name in names:
-            self._counts[name] = self._counts.get(name, 0) + 1
-            if self._counts[name] >= HELD_BY_COUNT:
-                self._hold(name)
+    def _count_end(self, fingerprints: set[bytes]) -> None:
+        for fingerprint in fingerprints:
+            self._counts[fingerprint] = self._counts.get(fingerprint, 0) + 1
+            if self._counts[fingerprint] >= QUARANTINE_COUNT:
+                self._quarantine(fingerprint)
 
-    def _take(self, end: ServerEnd) -> None:
+    def _merge_end(self, end: ServerEnd) -> None:
         if self._table.merge_end(end):
-            for name in end.ran:
-                if any(good.contains(name, self._clock.now_s) for good in self._good):
-                    self._later(WAY_S, lambda name=name: self._clear(name))  # type: ignore[misc]
-            self._clock.after_ms((SETTLE_S + 0.005) * 1000, self._judge)
-
-    def _judge(self) -> None:
+            for fingerprint in end.ran:
+                if any(
+                    successes.contains(fingerprint, self._clock.now_s)
+                    for successes in self._recent_successes
+                ):
+                    self._after_delay(
+                        ONE_WAY_S,
+                        lambda fingerprint=fingerprint: self._clear(  # type: ignore[misc]
+                            fingerprint
+                        ),
+                    )
+            self._clock.call_after_ms((SETTLE_S + 0.005) * 1000, self._update_quarantine)
+
+    def _update_quarantine(self) -> None:
         for verdict in self._table.update_quarantine():
-            self._hold(verdict.fingerprint)
+            self._quarantine(verdict.fingerprint)
 
-    def _hold(self, name: bytes) -> None:
-        if name in self._held:
+    def _quarantine(self, fingerprint: bytes) -> None:
+        if fingerprint in self._quarantined_from_s:
             return
-        self._held[name] = self._clock.now_s + self._random.uniform(*WAY_S)
-        if name not in self._crashers():
+        self._quarantined_from_s[fingerprint] = self._clock.now_s + self._random.uniform(*ONE_WAY_S)
+        if fingerprint not in self._crashers():
             self.figures.others_held += 1
-        self._clock.at(self._held[name], lambda: self._break_off(name))
+        self._clock.call_at(
+            self._quarantined_from_s[fingerprint], lambda: self._break_off(fingerprint)
+        )
 
     def _crashers(self) -> set[bytes]:
         return set(self._ends_s)
 
-    def _break_off(self, name: bytes) -> None:
-        """Let engines drop what runs of a request that is held."""
+    def _break_off(self, fingerprint: bytes) -> None:
+        """Interrupt the running attempts of a quarantined request."""
         if self._memory is CrashMemory.SUSPECTS:
             for engine in self._engines:
-                engine.running = {one: None for one in engine.running if one.name != name}
+                engine.running = {
+                    other: None for other in engine.running if other.fingerprint != fingerprint
+                }
 
-    def _later(self, way_s: tuple[float, float], work: Callable[[], None]) -> None:
-        self._clock.after_ms(self._random.uniform(*way_s) * 1000, work)
+    def _after_delay(self, delay_s: tuple[float, float], work: Callable[[], None]) -> None:
+        self._clock.call_after_ms(self._random.uniform(*delay_s) * 1000, work)
 
 
 def run_pattern(name: str, memory: CrashMemory, *, seeds: int) -> dict[str, float]:
-    """Play a pattern with some seeds; gives the mean of each figure, and the worst of the worst."""
+    """Run a pattern with several seeds; return mean figures, but the maximum of ``worst_lost``."""
     runs = [
         CrashSimulation(pattern=PATTERNS[name], memory=memory, seed=seed).run()
         for seed in range(seeds)
@@ -332,4 +390,11 @@
     return {**means, "worst_lost": max(run.worst_lost for run in runs)}
 
 
-__all__ = ["PATTERNS", "CrashWorld", "CrashFigures", "CrashMemory", "CrashPattern", "run_pattern"]
+__all__ = [
+    "PATTERNS",
+    "CrashFigures",
+    "CrashMemory",
+    "CrashPattern",
+    "CrashSimulation",
+    "run_pattern",
+]
--- a/src/leadhollow/experiment/emulated_engine.py
+++ b/src/leadhollow/experiment/emulated_engine.py
@@ -1,4 +1,7 @@
-"""An engine that works in passes: each gives every running request one event and reads prompts."""
+"""Emulation of an engine that works in passes.
+
+Each pass writes one event for every request in the decode phase and reads a chunk of prompts.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,9 @@
 from leadhollow.decide.engine_latency import EngineLatencyModel
 from leadhollow.routing.model import EngineSpec
 
-FIRST_MS = 12.0  # of a first event besides reading and writing, as such engines declare
+FIRST_EVENT_OVERHEAD_MS = (
+    12.0  # of a first event on top of prefill and decode, as engines declare it
+)
 
 
 class EngineTask:
@@ -17,14 +22,14 @@
     Parameters
     ----------
     events
-        Events of its answer.
-    on_first
+        Number of events of its response.
+    on_first_event
         Called with its first event.
     on_end
-        Called with its last event; False where the engine broke off.
+        Called at its end, with False if the engine interrupted it.
     """
 
-    __slots__ = ("started", "events", "on_end", "on_first_event", "prompt_tokens", "unread_tokens")
+    __slots__ = ("events", "on_end", "on_first_event", "prompt_tokens", "started", "unread_tokens")
 
     def __init__(
         self,
@@ -43,42 +48,50 @@
 
 
 class EmulatedEngine:
-    """One engine.
+    """One emulated engine.
 
     Parameters
     ----------
-    after
-        Calls a function after some milliseconds.
+    call_after_ms
+        Schedules a callback after a delay in milliseconds.
     """
 
-    __slots__ = ("_after", "_model", "_passing", "_running", "_spec", "_waiting", "serving")
+    __slots__ = (
+        "_call_after_ms",
+        "_model",
+        "_pass_running",
+        "_running",
+        "_spec",
+        "_waiting",
+        "serving",
+    )
 
     def __init__(
         self, *, spec: EngineSpec, call_after_ms: Callable[[float, Callable[[], None]], None]
     ):
         self._spec = spec
         self._model = EngineLatencyModel(spec=spec)
-        self._after = call_after_ms
+        self._call_after_ms = call_after_ms
         self._running: list[EngineTask] = []
         self._waiting: deque[EngineTask] = deque()
-        self._passing = False
+        self._pass_running = False
         self.serving = True
 
     @property
     def load(self) -> int:
-        """Requests that run or wait."""
+        """Number of running and waiting requests."""
         return len(self._running) + len(self._waiting)
 
     def submit(self, task: EngineTask) -> None:
-        """Take a request."""
+        """Queue a request; it ends at once if the engine is stopped."""
         if not self.serving:
-            self._after(0.0, lambda: task.on_end(False))
+            self._call_after_ms(0.0, lambda: task.on_end(False))
             return
         self._waiting.append(task)
         self._begin_pass()
 
     def stop(self) -> None:
-        """Break off everything, and take nothing more."""
+        """Interrupt all requests and accept no more."""
         self.serving = False
         tasks = [*self._running, *self._waiting]
         self._running.clear()
@@ -87,37 +100,37 @@
             task.on_end(False)
 
     def _begin_pass(self) -> None:
-        if self._passing:
+        if self._pass_running:
             return
         while self._waiting and len(self._running) < self._spec.slots:
             self._running.append(self._waiting.popleft())
         if not self._running:
             return
-        self._passing = True
+        self._pass_running = True
         left = self._spec.chunk_tokens
         pass_ms = 0.0
-        read: list[EngineTask] = []
+        prefilling: list[EngineTask] = []
         for task in self._running:
             part = min(left, task.unread_tokens)
             if part:
                 pass_ms += self._model.prefill_ms(part)
                 task.unread_tokens -= part
                 left -= part
-                read.append(task)
-        writers = [task for task in self._running if not task.unread_tokens]
-        if writers:
-            context = self._model.usual_context_tokens(len(writers))
-            pass_ms += self._model.pass_ms(len(writers), context)
-        self._after(pass_ms, lambda: self._end_pass(writers))
-
-    def _end_pass(self, writers: list[EngineTask]) -> None:
-        self._passing = False
-        for task in writers:
+                prefilling.append(task)
+        decoding = [task for task in self._running if not task.unread_tokens]
+        if decoding:
+            context = self._model.usual_context_tokens(len(decoding))
+            pass_ms += self._model.pass_ms(len(decoding), context)
+        self._call_after_ms(pass_ms, lambda: self._end_pass(decoding))
+
+    def _end_pass(self, decoding: list[EngineTask]) -> None:
+        self._pass_running = False
+        for task in decoding:
             if task not in self._running:
-                continue  # broken off meanwhile
+                continue  # interrupted during the pass
             if not task.started:
                 task.started = True
-                self._after(FIRST_MS, task.on_first_event)
+                self._call_after_ms(FIRST_EVENT_OVERHEAD_MS, task.on_first_event)
             task.events -= 1
             if task.events <= 0:
                 self._running.remove(task)
--- a/src/leadhollow/experiment/emulated_entry.py
+++ b/src/leadhollow/experiment/emulated_entry.py
@@ -1,4 +1,4 @@
-"""One entry of a run, as everything around it sees it."""
+"""One simulated entry: its failure domain, its queue and its view of the engines."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EmulatedEntry:
-    """One entry: the product's queue before its own view of the engines."""
+    """An entry with the product's own queue and a separate view of the engines."""
 
     __slots__ = ("domain", "queue", "view")
 
--- a/src/leadhollow/experiment/emulated_relay.py
+++ b/src/leadhollow/experiment/emulated_relay.py
@@ -1,4 +1,4 @@
-"""What entries of a run tell each other through control, some moments later."""
+"""Emulation of the control replicas that relay messages between the entries of a run."""
 
 from __future__ import annotations
 
@@ -11,21 +11,28 @@
 from leadhollow.experiment.virtual_clock import VirtualClock
 from leadhollow.membership.uses import Use
 
-GATHER_MS = 14.0  # changes within it travel together, in two steps
+BATCH_WINDOW_MS = 14.0  # changes within it are sent in one update
 
 
 class EmulatedRelay:
-    """Passes on uses, decisions and rests, each with the age that views of them have.
+    """Relays uses, decisions and back-offs between entries with the lag of their views.
 
     Parameters
     ----------
     entries
-        Entries of the run, which may be added to.
+        Entries of the run; more may be added later.
     shares_pressure
-        Whether decisions are passed on.
+        Whether decisions are relayed.
     """
 
-    __slots__ = ("_clock", "_dirty", "_entries", "_far_ms", "_near_ms", "_shares_pressure")
+    __slots__ = (
+        "_clock",
+        "_dirty",
+        "_entries",
+        "_local_lag_ms",
+        "_remote_lag_ms",
+        "_shares_pressure",
+    )
 
     def __init__(
         self,
@@ -37,30 +44,30 @@
     ) -> None:
         self._clock = clock
         self._entries = entries
-        self._near_ms = scenario.view_lag_ms
-        self._far_ms = scenario.far_view_lag_ms or scenario.view_lag_ms
+        self._local_lag_ms = scenario.view_lag_ms
+        self._remote_lag_ms = scenario.far_view_lag_ms or scenario.view_lag_ms
         self._shares_pressure = shares_pressure
         self._dirty: set[str] = set()
 
     def publish_backoff(
-        self, teller: EmulatedEntry, address: str, hear: Callable[[Server], None]
+        self, sender: EmulatedEntry, address: str, receive: Callable[[Server], None]
     ) -> None:
-        """Let the other entries hear that an engine wants rest."""
+        """Report the back-off of an engine to all entries but the sender."""
         for entry in self._entries:
-            if entry is not teller:
+            if entry is not sender:
                 server = entry.view.by_address[address]
-                near = server.instance.failure_domain == entry.domain
-                lag_ms = self._near_ms if near else self._far_ms
-                self._clock.after_ms(lag_ms, lambda server=server: hear(server))  # type: ignore[misc]
+                is_local = server.instance.failure_domain == entry.domain
+                lag_ms = self._local_lag_ms if is_local else self._remote_lag_ms
+                self._clock.call_after_ms(lag_ms, lambda server=server: receive(server))  # type: ignore[misc]
 
     def record_change(self, address: str) -> None:
-        """Let all entries know, a little later, what others have at an engine."""
+        """Schedule an update about the use of an engine to all entries."""
         if not self._dirty:
-            self._clock.after_ms(GATHER_MS, self._send)
+            self._clock.call_after_ms(BATCH_WINDOW_MS, self._send)
         self._dirty.add(address)
 
     def _send(self) -> None:
-        """Pass on what changed, all together, as it is now."""
+        """Send the current state of all changed engines in one update."""
         changed = {}
         for address in self._dirty:
             uses = [entry.view.by_address[address].use() for entry in self._entries]
@@ -70,55 +77,66 @@
                 sum(use.unread_tokens for use in uses),
             )
         self._dirty.clear()
-        told = self._decisions_of_others()
-        if self._far_ms == self._near_ms:
-            self._hear_after(self._near_ms, changed, told, inside=None)
+        peer_decisions = self._decisions_of_others()
+        if self._remote_lag_ms == self._local_lag_ms:
+            self._deliver_after(self._local_lag_ms, changed, peer_decisions, local=None)
             return
-        self._hear_after(self._near_ms, changed, told, inside=True)
-        self._hear_after(self._far_ms, changed, told, inside=False)
+        self._deliver_after(self._local_lag_ms, changed, peer_decisions, local=True)
+        self._deliver_after(self._remote_lag_ms, changed, peer_decisions, local=False)
 
-    def _hear_after(
+    def _deliver_after(
         self,
         lag_ms: float,
         changed: dict[str, tuple[list[Use], int, int]],
-        told: list[dict[str, DecisionCounts]],
+        peer_decisions: list[dict[str, DecisionCounts]],
         *,
-        inside: bool | None,
+        local: bool | None,
     ) -> None:
-        """Let entries hear of engines inside or outside their failure domain; None for both."""
-        self._clock.after_ms(lag_ms - GATHER_MS, lambda: self._hear(changed, told, inside))
-
-    def _hear(
+        """Deliver an update after a lag.
+
+        Parameters
+        ----------
+        lag_ms
+            Age of the update at delivery; the batch window has passed already.
+        local
+            True for engines in the entry's failure domain, False for all others, None for both.
+        """
+        self._clock.call_after_ms(
+            lag_ms - BATCH_WINDOW_MS, lambda: self._deliver(changed, peer_decisions, local)
+        )
+
+    def _deliver(
         self,
         changed: dict[str, tuple[list[Use], int, int]],
-        told: list[dict[str, DecisionCounts]],
-        inside: bool | None,
+        peer_decisions: list[dict[str, DecisionCounts]],
+        local: bool | None,
     ) -> None:
-        for place, entry in enumerate(self._entries):
+        for index, entry in enumerate(self._entries):
             for address, (uses, requests, unread) in changed.items():
                 server = entry.view.by_address[address]
-                if inside is not None and inside != (
-                    server.instance.failure_domain == entry.domain
-                ):
+                if local is not None and local != (server.instance.failure_domain == entry.domain):
                     continue
-                own = uses[place]
+                own_use = uses[index]
                 others = Use(
-                    requests=requests - own.requests, unread_tokens=unread - own.unread_tokens
+                    requests=requests - own_use.requests,
+                    unread_tokens=unread - own_use.unread_tokens,
                 )
                 server.update_peer_use(others, self._clock.now_s)
             if self._shares_pressure:
-                entry.queue.update_peer_decisions(told[place])
+                entry.queue.update_peer_decisions(peer_decisions[index])
             if entry.queue.waiting:
                 entry.view.changed()
 
     def _decisions_of_others(self) -> list[dict[str, DecisionCounts]]:
-        """Give what all others decided lately, for each entry: the sum without its own part."""
-        found = [entry.queue.decisions().get(SERVICE, DecisionCounts()) for entry in self._entries]
-        made = sum(own.made for own in found)
-        refused = sum(own.refused for own in found)
+        """Return for each entry the sum of the recent decisions of all other entries."""
+        counts_by_entry = [
+            entry.queue.decisions().get(SERVICE, DecisionCounts()) for entry in self._entries
+        ]
+        made = sum(counts.made for counts in counts_by_entry)
+        refused = sum(counts.refused for counts in counts_by_entry)
         return [
-            {SERVICE: DecisionCounts(made=made - own.made, refused=refused - own.refused)}
-            for own in found
+            {SERVICE: DecisionCounts(made=made - counts.made, refused=refused - counts.refused)}
+            for counts in counts_by_entry
         ]
 
 
--- a/src/leadhollow/experiment/limit_patterns.py
+++ b/src/leadhollow/experiment/limit_patterns.py
@@ -1,4 +1,4 @@
-"""Patterns of servers that limit what they take, ways of keeping limits, and what a run gives."""
+"""Patterns, methods and result figures of the simulation of server rate limits."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LimitMethod(Enum):
-    """How entries keep a limit."""
+    """How entries apply the rate limit of a server."""
 
     NONE = "not at all"
     ALONE = "each the whole limit"
@@ -17,20 +17,20 @@
 
 
 class LimitPattern(msgspec.Struct, frozen=True, kw_only=True):
-    """What entries are asked, what servers limit, and what fails.
+    """A load pattern with servers that limit their request rate, and faults.
 
     Parameters
     ----------
     limited
-        Servers that name a limit, from ``named_s`` to ``lifted_s``.
+        Number of servers that have a limit, from ``named_s`` to ``lifted_s``.
     uneven
-        Requests of a busy entry as a multiple of those of a calm one; a fifth of them is busy.
+        Request rate of a busy entry as a multiple of that of another one; every fifth one is busy.
     lost
-        Entries that end and are replaced by new ones, one a second.
+        Number of entries that end and are replaced by new ones, one per second.
     cut
-        Part of the entries that is out of touch with control from ``fault_s`` to ``healed_s``.
+        Share of the entries that are disconnected from control from ``fault_s`` to ``healed_s``.
     leader_away
-        Whether no leader serves during that time.
+        Whether there is no leader during that time.
     """
 
     entries: int = 39
@@ -65,20 +65,20 @@
 
 
 class LimitFigures(msgspec.Struct, kw_only=True):
-    """What one run gave.
+    """Results of one run.
 
     Parameters
     ----------
     over_aim
-        Most arrivals at one server in any window beyond its limit and two requests.
+        Most arrivals at one server in any window in excess of its limit plus two requests.
     over_rule
-        Most beyond one and a half times the limit in 4 s and five requests.
+        Most arrivals in 4 s in excess of one and a half times the limit plus five requests.
     used
-        Part of the limits that was used while they held.
+        Share of the limits that was used while they applied.
     refused
-        Requests that found no server with room.
+        Number of requests for which no server had capacity.
     full_again_s
-        Time after the limit was lifted until all entries know.
+        Time from the end of the limit until all entries know of it.
     """
 
     over_aim: float = 0.0
@@ -89,4 +89,4 @@
     requests: int = 0
 
 
-__all__ = ["PATTERNS", "LimitFigures", "LimitPattern", "LimitMethod"]
+__all__ = ["PATTERNS", "LimitFigures", "LimitMethod", "LimitPattern"]
--- a/src/leadhollow/experiment/outcome.py
+++ b/src/leadhollow/experiment/outcome.py
@@ -1,4 +1,4 @@
-"""What became of the callers of one run."""
+"""Results of a run, computed from its callers."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from leadhollow.experiment.callers import Caller
 from leadhollow.experiment.scenario import MS_PER_S
 
-SIZE_FLOOR = 0.3  # of its kind's worth that every request has; the rest goes by its size
-REFUSED_AGAIN_COST = 0.3  # of the worth of a caller that came back in vain
+MIN_SIZE_WEIGHT = 0.3  # weight of an empty prompt; the rest is proportional to size
+RETRY_REFUSED_COST = 0.3  # share of its worth that a refused retry costs
 
 
 class Outcome(msgspec.Struct, frozen=True, kw_only=True):
-    """Shares of the worth that was asked for.
+    """Results as shares of the worth of all requests.
 
     Parameters
     ----------
     worth
-        What callers got less what returning in vain cost them.
+        Worth that callers received less the cost of refused retries.
     by_kind, by_domain
-        What callers got, without that cost.
+        Worth that callers received, without that cost.
     on_time, late, refused
-        Parts of the requests.
+        Shares of the requests.
     repeats, sent_in_rest
-        Sends to one more engine, and to engines that had asked for rest, for each request.
+        Resends to another engine, and sends to engines during a back-off, per request.
     """
 
     worth: float
@@ -39,60 +39,65 @@
 
 
 def summarise(callers: Iterable[Caller]) -> Outcome:
-    """Sum up a run."""
-    found = list(callers)
-    owed = [size_weight(caller) * caller.kind.worth for caller in found]
-    got = [size_weight(caller) * _earned(caller) for caller in found]
-    in_vain = sum(
-        REFUSED_AGAIN_COST * worth
-        for caller, worth in zip(found, owed, strict=True)
+    """Compute the outcome of a run."""
+    requests = list(callers)
+    max_worth = [size_weight(caller) * caller.kind.worth for caller in requests]
+    earned = [size_weight(caller) * _earned_worth(caller) for caller in requests]
+    retry_cost = sum(
+        RETRY_REFUSED_COST * worth
+        for caller, worth in zip(requests, max_worth, strict=True)
         if caller.retry_refused
     )
-    total = sum(owed) or 1.0
-    on_time = sum(1 for caller in found if _on_time(caller))
-    served = sum(1 for caller in found if caller.latency_s is not None)
+    total = sum(max_worth) or 1.0
+    on_time = sum(1 for caller in requests if _on_time(caller))
+    served = sum(1 for caller in requests if caller.latency_s is not None)
     return Outcome(
-        worth=(sum(got) - in_vain) / total,
-        by_kind=_shares([caller.kind.name for caller in found], got, owed),
-        by_domain=_shares([caller.domain for caller in found], got, owed),
-        on_time=on_time / max(1, len(found)),
-        late=(served - on_time) / max(1, len(found)),
-        refused=(len(found) - served) / max(1, len(found)),
-        repeats=sum(caller.resends for caller in found) / max(1, len(found)),
-        sent_in_rest=sum(caller.sent_in_backoff for caller in found) / max(1, len(found)),
+        worth=(sum(earned) - retry_cost) / total,
+        by_kind=_shares([caller.kind.name for caller in requests], earned, max_worth),
+        by_domain=_shares([caller.domain for caller in requests], earned, max_worth),
+        on_time=on_time / max(1, len(requests)),
+        late=(served - on_time) / max(1, len(requests)),
+        refused=(len(requests) - served) / max(1, len(requests)),
+        repeats=sum(caller.resends for caller in requests) / max(1, len(requests)),
+        sent_in_rest=sum(caller.sent_in_backoff for caller in requests) / max(1, len(requests)),
     )
 
 
 def worth_share(callers: Iterable[Caller]) -> float:
-    """Give the part of their worth that callers got, without the cost of coming back in vain."""
-    found = list(callers)
-    owed = sum(size_weight(caller) * caller.kind.worth for caller in found)
-    return sum(size_weight(caller) * _earned(caller) for caller in found) / (owed or 1.0)
+    """Return the share of their worth that callers received, before the cost of retries."""
+    requests = list(callers)
+    max_worth = sum(size_weight(caller) * caller.kind.worth for caller in requests)
+    return sum(size_weight(caller) * _earned_worth(caller) for caller in requests) / (
+        max_worth or 1.0
+    )
 
 
 def size_weight(caller: Caller) -> float:
-    """Give how much a request counts by its size, as a part of its kind's worth."""
+    """Return the weight of a request by prompt size, as a factor on the worth of its kind."""
     size = caller.prompt_tokens / caller.kind.prompt_tokens
-    return min(4.0, SIZE_FLOOR + (1 - SIZE_FLOOR) * size)
+    return min(4.0, MIN_SIZE_WEIGHT + (1 - MIN_SIZE_WEIGHT) * size)
 
 
 def _on_time(caller: Caller) -> bool:
     return caller.latency_s is not None and caller.latency_s <= caller.kind.objective_ms / MS_PER_S
 
 
-def _earned(caller: Caller) -> float:
+def _earned_worth(caller: Caller) -> float:
     if caller.latency_s is None:
         return 0.0
     return caller.kind.worth if _on_time(caller) else caller.kind.late_worth
 
 
-def _shares(names: list[str], got: list[float], owed: list[float]) -> dict[str, float]:
+def _shares(names: list[str], earned: list[float], max_worth: list[float]) -> dict[str, float]:
     sums: dict[str, list[float]] = {}
-    for name, part, whole in zip(names, got, owed, strict=True):
-        found = sums.setdefault(name, [0.0, 0.0])
-        found[0] += part
-        found[1] += whole
-    return {name: part / whole for name, (part, whole) in sorted(sums.items())}
+    for name, earned_worth, available_worth in zip(names, earned, max_worth, strict=True):
+        totals = sums.setdefault(name, [0.0, 0.0])
+        totals[0] += earned_worth
+        totals[1] += available_worth
+    return {
+        name: earned_worth / available_worth
+        for name, (earned_worth, available_worth) in sorted(sums.items())
+    }
 
 
-__all__ = ["Outcome", "summarise", "size_weight", "worth_share"]
+__all__ = ["Outcome", "size_weight", "summarise", "worth_share"]
--- a/src/leadhollow/experiment/patterns.py
+++ b/src/leadhollow/experiment/patterns.py
@@ -1,8 +1,8 @@
 """Named load patterns that come with the product.
 
-Engines and callers are of one kind in all of them: 16 requests at once, 6 tokens an event, prompts
-of 600 to 1,300 tokens that are read at 30,600 tokens a second. Ten engines of this kind carry about
-107 requests a second, six about 70, as measured with patterns of growing load.
+All use one kind of engine and the same callers: 16 slots, 6 tokens per event, prompts of 600 to
+1,300 tokens that are read at 30,600 tokens per second. Ten such engines carry about 107 requests
+per second, six about 70.
 """
 
 from __future__ import annotations
@@ -37,32 +37,32 @@
         answer_events=11.6,
     ),
 )
-UNEVEN = (
+UNEVEN_DOMAINS = (
     Domain(name="a", entries=4, engines=2, share=0.33),
     Domain(name="b", entries=2, engines=2, share=0.38),
     Domain(name="c", entries=3, engines=2, share=0.29),
 )
-"""Callers, entries and engines are not spread alike over the failure domains."""
+"""Callers, entries and engines are spread unevenly over the failure domains."""
 
-WIDE = tuple(
+WIDE_DOMAINS = tuple(
     Domain(name=domain.name, entries=domain.entries, engines=engines, share=domain.share)
-    for domain, engines in zip(UNEVEN, (3, 3, 4), strict=True)
+    for domain, engines in zip(UNEVEN_DOMAINS, (3, 3, 4), strict=True)
 )
 
 
-MANY = (
+MANY_DOMAINS = (
     Domain(name="a", entries=13, engines=8, share=0.33),
     Domain(name="b", entries=13, engines=8, share=0.38),
     Domain(name="c", entries=13, engines=7, share=0.29),
 )
 
-MANY_FAR_LAG_MS = 330.0  # of views between failure domains, where there are many entries
+MANY_REMOTE_LAG_MS = 330.0  # view lag between failure domains with many entries
 
 
 def _pattern(
     name: str,
     *changes: Change,
-    domains: tuple[Domain, ...] = WIDE,
+    domains: tuple[Domain, ...] = WIDE_DOMAINS,
     length_s: float = 30.0,
     far_view_lag_ms: float = 0.0,
 ) -> Scenario:
@@ -77,8 +77,8 @@
     )
 
 
-def _resting(share: float) -> tuple[Change, ...]:
-    """Let part of the engines turn requests away for ten seconds."""
+def _refusing(share: float) -> tuple[Change, ...]:
+    """Return changes in which a share of the engines refuse requests for ten seconds."""
     return (
         Change(at_s=0.0, load=0.6),
         Change(at_s=6.0, engines_resting=share),
@@ -86,21 +86,21 @@
     )
 
 
-def _resting_in_turn(load: float) -> tuple[Change, ...]:
-    """Let half of the engines turn requests away for two seconds in four."""
+def _refusing_intermittently(load: float) -> tuple[Change, ...]:
+    """Return changes in which half of the engines refuse requests for 2 s in every 4 s."""
     steps = range(0, 16, 2)
-    turns = [
+    cycles = [
         Change(at_s=6.0 + step, engines_resting=0.5 if step % 4 == 0 else 0.0) for step in steps
     ]
-    return (Change(at_s=0.0, load=load), *turns)
+    return (Change(at_s=0.0, load=load), *cycles)
 
 
 def patterns() -> dict[str, Scenario]:
-    """Give all patterns by name."""
-    found = [
+    """Return all patterns by name."""
+    scenarios = [
         _pattern("usual", Change(at_s=0, load=0.85)),
-        _pattern("overload", domains=UNEVEN),
-        _pattern("double", Change(at_s=0, load=1.6), domains=UNEVEN),
+        _pattern("overload", domains=UNEVEN_DOMAINS),
+        _pattern("double", Change(at_s=0, load=1.6), domains=UNEVEN_DOMAINS),
         _pattern(
             "outage",
             Change(at_s=0.0, load=0.9),
@@ -128,19 +128,19 @@
             Change(at_s=6.0, load=1.0),
             Change(at_s=9.0, engines_out=0.0),
         ),
-        _pattern("resting-some", *_resting(0.34)),
-        _pattern("resting-half", *_resting(0.5)),
-        _pattern("resting-all", *_resting(1.0)),
-        _pattern("resting-in-turn", *_resting_in_turn(0.6)),
+        _pattern("resting-some", *_refusing(0.34)),
+        _pattern("resting-half", *_refusing(0.5)),
+        _pattern("resting-all", *_refusing(1.0)),
+        _pattern("resting-in-turn", *_refusing_intermittently(0.6)),
         _pattern(
             "resting-many",
-            *_resting_in_turn(1.4),
-            domains=MANY,
+            *_refusing_intermittently(1.4),
+            domains=MANY_DOMAINS,
             length_s=16.0,
-            far_view_lag_ms=MANY_FAR_LAG_MS,
+            far_view_lag_ms=MANY_REMOTE_LAG_MS,
         ),
     ]
-    return {scenario.name: scenario for scenario in found}
+    return {scenario.name: scenario for scenario in scenarios}
 
 
 __all__ = ["patterns"]
--- a/src/leadhollow/experiment/runner.py
+++ b/src/leadhollow/experiment/runner.py
@@ -1,4 +1,4 @@
-"""Runs of a scenario under two policies, paired by seed."""
+"""Paired runs of a scenario under two policies with the same seeds."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from leadhollow.experiment.simulation import Simulation
 from leadhollow.experiment.worth_limit import worth_bound
 
-NORMAL_95 = 1.96  # standard errors on either side of a mean that hold it in 95 cases of 100
+Z_95 = 1.96  # half width of a 95% confidence interval in standard errors
 
 
 class Estimate(msgspec.Struct, frozen=True, kw_only=True):
@@ -25,7 +25,7 @@
     Parameters
     ----------
     half_width
-        Of its 95% confidence interval.
+        Half width of its 95% confidence interval.
     """
 
     mean: float
@@ -33,16 +33,16 @@
 
 
 class Comparison(msgspec.Struct, frozen=True, kw_only=True):
-    """Two policies under the same callers.
+    """Results of two policies for the same callers.
 
     Parameters
     ----------
     policy, against
-        Means of each figure.
+        Mean of each figure under the first and the second policy.
     bound
-        Mean worth that no placement can exceed.
+        Mean upper bound on worth for any placement.
     difference
-        Of the first from the second, seed by seed.
+        Paired difference of each figure, first policy minus second.
     """
 
     scenario: str
@@ -54,10 +54,10 @@
 
 
 def run_once(scenario: Scenario, policy: QueuePolicy, seed: int) -> Outcome:
-    """Play one seed."""
-    world = Simulation(scenario=scenario, policy=policy, seed=seed)
-    world.run()
-    return summarise(world.callers)
+    """Run a scenario with one seed."""
+    simulation = Simulation(scenario=scenario, policy=policy, seed=seed)
+    simulation.run()
+    return summarise(simulation.callers)
 
 
 def compare(
@@ -69,18 +69,18 @@
     jobs: int,
     on_progress: Callable[[int], None] = lambda done: None,
 ) -> Comparison:
-    """Play all seeds under both policies.
+    """Run a scenario under both policies for all seeds.
 
     Parameters
     ----------
     jobs
-        Processes; with 1 everything runs in this one.
+        Number of processes; with 1 everything runs in this one.
     on_progress
-        Called with the number of seeds that are done.
+        Called with the number of completed seeds.
     """
     bounds = [worth_bound(scenario, draw_callers(scenario, 1 + place)) for place in range(seeds)]
     pairs = []
-    for pair in _pairs(scenario, policy, against, seeds=seeds, jobs=jobs):
+    for pair in _run_pairs(scenario, policy, against, seeds=seeds, jobs=jobs):
         pairs.append(pair)
         on_progress(len(pairs))
     first = [figures(pair[0]) for pair in pairs]
@@ -100,8 +100,8 @@
 
 
 def figures(outcome: Outcome) -> dict[str, float]:
-    """Give the figures of a run by name."""
-    found = {
+    """Return the figures of a run by name."""
+    values_by_name = {
         "worth": outcome.worth,
         "worst domain": min(outcome.by_domain.values()),
         "worst kind": min(outcome.by_kind.values()),
@@ -111,23 +111,23 @@
         "repeats": outcome.repeats,
         "sent in rest": outcome.sent_in_rest,
     }
-    found |= {f"domain {name}": share for name, share in outcome.by_domain.items()}
-    return found | {f"kind {name}": share for name, share in outcome.by_kind.items()}
+    values_by_name |= {f"domain {name}": share for name, share in outcome.by_domain.items()}
+    return values_by_name | {f"kind {name}": share for name, share in outcome.by_kind.items()}
 
 
-def _pairs(
+def _run_pairs(
     scenario: Scenario, policy: QueuePolicy, against: QueuePolicy, *, seeds: int, jobs: int
 ) -> Iterator[tuple[Outcome, Outcome]]:
-    work = [(scenario, policy, against, seed) for seed in range(1, seeds + 1)]
+    runs = [(scenario, policy, against, seed) for seed in range(1, seeds + 1)]
     if jobs == 1:
-        yield from map(_pair, work)
+        yield from map(_run_pair, runs)
         return
     with ProcessPoolExecutor(max_workers=jobs) as pool:
-        yield from pool.map(_pair, work)
+        yield from pool.map(_run_pair, runs)
 
 
-def _pair(work: tuple[Scenario, QueuePolicy, QueuePolicy, int]) -> tuple[Outcome, Outcome]:
-    scenario, policy, against, seed = work
+def _run_pair(job: tuple[Scenario, QueuePolicy, QueuePolicy, int]) -> tuple[Outcome, Outcome]:
+    scenario, policy, against, seed = job
     return run_once(scenario, policy, seed), run_once(scenario, against, seed)
 
 
@@ -135,7 +135,7 @@
     if len(values) < 2:
         return Estimate(mean=values[0], half_width=math.inf)
     error = statistics.stdev(values) / math.sqrt(len(values))
-    return Estimate(mean=statistics.fmean(values), half_width=NORMAL_95 * error)
+    return Estimate(mean=statistics.fmean(values), half_width=Z_95 * error)
 
 
 __all__ = ["Comparison", "Estimate", "compare", "figures", "run_once"]
--- a/src/leadhollow/experiment/scenario.py
+++ b/src/leadhollow/experiment/scenario.py
@@ -1,4 +1,4 @@
-"""Load patterns: engines, callers and what befalls them, as checked settings."""
+"""Load patterns as checked settings: engines, callers, failure domains and changes over time."""
 
 from __future__ import annotations
 
@@ -20,11 +20,13 @@
     Parameters
     ----------
     per_s
-        Mean arrivals a second over all failure domains.
+        Mean arrival rate over all failure domains.
     worth, late_worth
-        What an answer on time, and a late one, is worth.
+        Worth of a response on time, and of a late one.
+    objective_ms, deadline_ms
+        Time to the first event that counts as on time, and time that bounds waiting and retries.
     prompt_tokens, answer_events
-        Mean sizes; both spread log-normally.
+        Mean sizes of prompt and response; both have a log-normal distribution.
     spread
         Standard deviation of the logarithm of sizes.
     """
@@ -46,7 +48,7 @@
     Parameters
     ----------
     share
-        Its part of the callers.
+        Its share of the callers.
     """
 
     name: str
@@ -56,17 +58,17 @@
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A change at a moment.
+    """A change at one time, in effect until the next change of the same field.
 
     Parameters
     ----------
     load
-        From then on the arrivals are this many times the usual ones; None leaves them.
+        Arrival rate as a multiple of the usual one; None leaves it unchanged.
     engines_out
-        Part of each domain's engines that serve nothing from then on; None leaves them.
+        Share of each domain's engines that are stopped; None leaves it unchanged.
     engines_resting
-        Part of each domain's engines that turn every new request away from then on, and ask for
-        rest; None leaves them.
+        Share of each domain's engines that refuse every new request and ask for a back-off; None
+        leaves it unchanged.
     """
 
     at_s: float
@@ -81,15 +83,15 @@
     Parameters
     ----------
     view_lag_ms
-        Age of what entries know of each other at engines of their own failure domain.
+        Age of what entries know of each other's use of engines in their own failure domain.
     far_view_lag_ms
-        Age of what they know of the others' engines; 0 for the same.
+        The same for engines of other failure domains; 0 means equal to ``view_lag_ms``.
     way_ms
-        One way between entry and engine, on top of the engine's own times.
+        One-way delay between entry and engine, on top of the engine's own latency.
     rest_s
-        Rest that engines ask for.
+        Back-off that engines ask for.
     length_s
-        How long callers arrive; answers are waited for afterwards.
+        Time during which callers arrive; the run continues until their requests have ended.
     """
 
     name: str
@@ -119,26 +121,26 @@
         scenario = _decoder.decode(path.read_bytes())
     except (OSError, msgspec.MsgspecError) as error:
         return Err(Failure(code=Code.SETTINGS_FIELD, detail=f"{path}: {error}"))
-    wrong = _wrong(scenario)
-    if wrong:
-        return Err(Failure(code=Code.SETTINGS_FIELD, detail=f"{path}: {wrong}"))
+    error_detail = _wrong(scenario)
+    if error_detail:
+        return Err(Failure(code=Code.SETTINGS_FIELD, detail=f"{path}: {error_detail}"))
     return Ok(scenario)
 
 
 def _wrong(scenario: Scenario) -> str:
-    """Name the first field whose value makes no sense, nothing where all do."""
+    """Return an error for the first invalid field, or an empty string."""
     if not sum(domain.engines for domain in scenario.domains):
         return "domains: no engine in any of them"
     if not scenario.kinds:
         return "kinds: none"
-    for place, kind in enumerate(scenario.kinds):
+    for index, kind in enumerate(scenario.kinds):
         if kind.per_s < 0 or kind.objective_ms <= 0 or kind.deadline_ms <= 0:
-            return f"kinds[{place}]: rates and times must be above 0"
-    for place, domain in enumerate(scenario.domains):
+            return f"kinds[{index}]: rates and times must be above 0"
+    for index, domain in enumerate(scenario.domains):
         if domain.share < 0 or domain.engines < 0:
-            return f"domains[{place}]: negative"
+            return f"domains[{index}]: negative"
         if domain.entries < 1 and domain.share > 0:
-            return f"domains[{place}].entries: none for its callers"
+            return f"domains[{index}].entries: none for its callers"
     if scenario.rest_s < 0:
         return "rest_s: negative"
     if scenario.length_s <= 0:
--- a/src/leadhollow/experiment/server_view.py
+++ b/src/leadhollow/experiment/server_view.py
@@ -1,4 +1,4 @@
-"""What an entry sees: engines, and weights that never change."""
+"""Emulated view of an entry: its engines, and a model with a single version."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 class SingleVersion:
-    """Weights that never change."""
+    """Version rules for a model whose weights never change."""
 
     def oldest_allowed(self, model: str) -> int:
-        """Allow every version."""
+        """Return 0, as every version is allowed."""
         return 0
 
     def newest(self, model: str) -> int:
-        """Give the only version."""
+        """Return the only version."""
         return 1
 
     def begin_by_s(self, model: str, version: int) -> float:
-        """Set no bound."""
+        """Return infinity, as requests may begin at any time."""
         return math.inf
 
 
 class ServerView:
-    """Engines as one entry sees them."""
+    """The engines as one entry sees them."""
 
     __slots__ = ("_listeners", "by_address")
 
@@ -35,25 +35,25 @@
         self._listeners: list[Callable[[], None]] = []
 
     def servers(self, service: str) -> Sequence[Server]:
-        """Give the engines that take requests."""
+        """Return the engines that accept requests."""
         return [
-            found
-            for found in self.by_address.values()
-            if found.instance.state is InstanceState.READY
+            server
+            for server in self.by_address.values()
+            if server.instance.state is InstanceState.READY
         ]
 
     def hears_others(self) -> bool:
-        """Tell that other entries are heard."""
+        """Return True, as the use of other entries is always known."""
         return True
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call a function at each change."""
+        """Register a callback for changes."""
         self._listeners.append(listener)
 
     def changed(self) -> None:
-        """Tell that something changed."""
+        """Call the registered callbacks."""
         for listener in self._listeners:
             listener()
 
 
-__all__ = ["OneVersion", "ServerView"]
+__all__ = ["ServerView", "SingleVersion"]
--- a/src/leadhollow/experiment/simulation.py
+++ b/src/leadhollow/experiment/simulation.py
@@ -1,8 +1,8 @@
-"""Callers, entries and engines of one run, in virtual time.
+"""Simulation of callers, entries and engines in virtual time.
 
-Entries run the product's own `EngineQueue`; everything around it is emulated as far as its
-decisions see it: engines by the pass model, views of other entries that lag, callers that come
-back once after a refusal.
+Entries run the product's own `EngineQueue`. The rest is emulated as far as it affects the decisions
+of the queue: engines work in passes, entries see each other's use with a lag, and callers retry
+once after a refusal.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 from leadhollow.routing.model import ServiceRecord
 
 MODEL = "m"
-RETURN_SHARE = 1 / 3  # of the time that is left; callers wait no longer than that
-MOST_SENDS = 6
-RESUME_WAIT_S = 0.3  # how long a request that was turned away looks for another engine
-SETTLE_S = 8.0  # after the last arrival; every deadline has passed by then
+RETRY_WAIT_SHARE = 1 / 3  # longest wait before a retry, as a share of the time left
+MAX_SENDS = 6
+RESUME_WAIT_S = 0.3  # time in which a refused request is placed on another engine
+DRAIN_S = 8.0  # run time after the last arrival; longer than every deadline
 
 
 class Simulation:
@@ -43,14 +43,14 @@
     Parameters
     ----------
     seed
-        Of callers and of the random parts of decisions; the callers of a seed are the same under
-        every policy.
+        Seed of the callers and of random decisions; the callers of a seed are the same under every
+        policy.
     """
 
     __slots__ = (
+        "_backoffs",
         "_random",
         "_relay",
-        "_rests",
         "_service",
         "callers",
         "clock",
@@ -63,7 +63,7 @@
         self.scenario = scenario
         self.clock = VirtualClock()
         self._random = random.Random(seed)
-        self._rests = EmulatedBackoffs(
+        self._backoffs = EmulatedBackoffs(
             clock=self.clock, policy=policy, backoff_s=scenario.rest_s, seed=seed
         )
         self._service = ServiceRecord(name=SERVICE, engine=scenario.engine)
@@ -78,38 +78,38 @@
         self.callers = draw_callers(scenario, seed)
         domains = {}
         for domain in scenario.domains:
-            for place in range(domain.engines):
-                address = f"{domain.name}-{place}"
+            for index in range(domain.engines):
+                address = f"{domain.name}-{index}"
                 domains[address] = domain.name
                 self.engines[address] = EmulatedEngine(
-                    spec=scenario.engine, call_after_ms=self.clock.after_ms
+                    spec=scenario.engine, call_after_ms=self.clock.call_after_ms
                 )
         for domain in scenario.domains:
             for _ in range(domain.entries):
                 self._add_entry(domain.name, domains, policy, seed + len(self.entries))
 
     def run(self) -> None:
-        """Let all callers come, and wait for their answers."""
+        """Run all callers until their requests have ended."""
         scenario = self.scenario
         for caller in self.callers:
-            self.clock.at(caller.arrival_s, lambda caller=caller: self._arrive(caller))  # type: ignore[misc]
+            self.clock.call_at(caller.arrival_s, lambda caller=caller: self._arrive(caller))  # type: ignore[misc]
         for change in scenario.changes:
             if change.engines_out is not None:
                 share = change.engines_out
-                self.clock.at(change.at_s, lambda share=share: self._set_out(share))  # type: ignore[misc]
+                self.clock.call_at(change.at_s, lambda share=share: self._set_unavailable(share))  # type: ignore[misc]
             if change.engines_resting is not None:
                 resting = change.engines_resting
-                self.clock.at(change.at_s, lambda share=resting: self._set_resting(share))  # type: ignore[misc]
-        self._tick()
-        self.clock.run(scenario.length_s + SETTLE_S)
+                self.clock.call_at(change.at_s, lambda share=resting: self._set_refusing(share))  # type: ignore[misc]
+        self._pump_queues()
+        self.clock.run_until(scenario.length_s + DRAIN_S)
 
-    def _tick(self) -> None:
+    def _pump_queues(self) -> None:
         for entry in self.entries:
             if entry.queue.waiting:
                 entry.queue.pump()
                 entry.queue.pump_held()
-        if self.clock.now_s < self.scenario.length_s + SETTLE_S:
-            self.clock.after_ms(PUMP_INTERVAL_S * MS_PER_S, self._tick)
+        if self.clock.now_s < self.scenario.length_s + DRAIN_S:
+            self.clock.call_after_ms(PUMP_INTERVAL_S * MS_PER_S, self._pump_queues)
 
     def _add_entry(
         self, name: str, domains: dict[str, str], policy: QueuePolicy, seed: int
@@ -147,14 +147,14 @@
         )
         self.entries.append(EmulatedEntry(domain=name, view=view, queue=queue))
 
-    def _set_out(self, share: float) -> None:
-        """Take part of each domain's engines out, or bring all back."""
+    def _set_unavailable(self, share: float) -> None:
+        """Stop a share of each domain's engines and start the others."""
         for domain in self.scenario.domains:
-            out = round(domain.engines * share)
-            for place in range(domain.engines):
-                address = f"{domain.name}-{place}"
+            out_count = round(domain.engines * share)
+            for index in range(domain.engines):
+                address = f"{domain.name}-{index}"
                 engine = self.engines[address]
-                serving = place >= out
+                serving = index >= out_count
                 state = InstanceState.READY if serving else InstanceState.DRAINING
                 for entry in self.entries:
                     entry.view.by_address[address].instance.state = state
@@ -163,12 +163,12 @@
                     engine.stop()
                 engine.serving = serving
 
-    def _set_resting(self, share: float) -> None:
-        """Let part of each domain's engines turn away what is new, and no others."""
-        self._rests.refusing = {
-            f"{domain.name}-{place}"
+    def _set_refusing(self, share: float) -> None:
+        """Make a share of each domain's engines refuse new requests, and no others."""
+        self._backoffs.refusing = {
+            f"{domain.name}-{index}"
             for domain in self.scenario.domains
-            for place in range(round(domain.engines * share))
+            for index in range(round(domain.engines * share))
         }
 
     def _arrive(self, caller: Caller) -> None:
@@ -179,113 +179,114 @@
         now_s = self.clock.now_s
         objective_s = caller.kind.objective_ms / MS_PER_S
         deadline_s = caller.arrival_s + caller.kind.deadline_ms / MS_PER_S
-        decide_s = now_s + objective_s * DECISION_DEADLINE_SHARE
-        again = caller.attempts > 1
-        wish = EngineRequest(
+        decide_by_s = now_s + objective_s * DECISION_DEADLINE_SHARE
+        is_retry = caller.attempts > 1
+        request = EngineRequest(
             service=self._service,
             model=MODEL,
             prompt_tokens=caller.prompt_tokens,
             output_tokens=float(caller.events * self.scenario.engine.stride_steps),
             objective_s=objective_s,
             on_time_until_s=now_s + objective_s,
-            decide_by_s=decide_s,
-            hold_until_s=decide_s + (HOLD_SHARE * (deadline_s - decide_s) if again else 0.0),
-            queue_priority=QueuePriority.CAME_BACK if again else QueuePriority.NEW,
+            decide_by_s=decide_by_s,
+            hold_until_s=decide_by_s
+            + (HOLD_SHARE * (deadline_s - decide_by_s) if is_retry else 0.0),
+            queue_priority=QueuePriority.CAME_BACK if is_retry else QueuePriority.NEW,
             organisation="",
             request_id="",
             excluded=set(),
             last_attempt=False,
         )
-        self._submit(entry, caller, wish)
+        self._submit(entry, caller, request)
 
-    def _submit(self, entry: EmulatedEntry, caller: Caller, wish: EngineRequest) -> None:
-        waiter = entry.queue.submit(wish)
+    def _submit(self, entry: EmulatedEntry, caller: Caller, request: EngineRequest) -> None:
+        waiter = entry.queue.submit(request)
         if waiter.ended:
-            self._placed(entry, caller, waiter)
+            self._on_placed(entry, caller, waiter)
             return
-        waiter.on_end = lambda: self._placed(entry, caller, waiter)
-        self._watch(entry, waiter)
+        waiter.on_end = lambda: self._on_placed(entry, caller, waiter)
+        self._schedule_deadline(entry, waiter)
 
-    def _watch(self, entry: EmulatedEntry, waiter: Waiter) -> None:
-        def look() -> None:
+    def _schedule_deadline(self, entry: EmulatedEntry, waiter: Waiter) -> None:
+        def check() -> None:
             if waiter.ended:
                 return
             entry.queue.on_deadline(waiter)
             if not waiter.ended:
-                self._watch(entry, waiter)
+                self._schedule_deadline(entry, waiter)
 
-        self.clock.at(waiter.deadline_s, look)
+        self.clock.call_at(waiter.deadline_s, check)
 
-    def _placed(self, entry: EmulatedEntry, caller: Caller, waiter: Waiter) -> None:
+    def _on_placed(self, entry: EmulatedEntry, caller: Caller, waiter: Waiter) -> None:
         placement = waiter.placement
         if placement is None:
-            self._refused(entry, caller, waiter)
+            self._on_refused(entry, caller, waiter)
             return
         address = placement.server.instance.address
-        if address in self._rests.refusing:
-            place = self.entries.index(entry)
-            caller.sent_in_backoff += self._rests.in_backoff(place, address)
-            away_ms = 2 * self.scenario.way_ms
-            self.clock.after_ms(
-                away_ms, lambda: self._turned_away(entry, caller, waiter, placement)
+        if address in self._backoffs.refusing:
+            index = self.entries.index(entry)
+            caller.sent_in_backoff += self._backoffs.in_backoff(index, address)
+            round_trip_ms = 2 * self.scenario.way_ms
+            self.clock.call_after_ms(
+                round_trip_ms, lambda: self._on_backend_refusal(entry, caller, waiter, placement)
             )
             return
         engine = self.engines[address]
         task = EngineTask(
             prompt_tokens=caller.prompt_tokens,
             events=caller.events,
-            on_first_event=lambda: self.clock.after_ms(
-                self.scenario.way_ms, lambda: self._first(caller, placement)
+            on_first_event=lambda: self.clock.call_after_ms(
+                self.scenario.way_ms, lambda: self._on_first_event(caller, placement)
             ),
-            on_end=lambda whole: self.clock.after_ms(
-                self.scenario.way_ms, lambda: self._ended(entry, caller, placement, whole)
+            on_end=lambda complete: self.clock.call_after_ms(
+                self.scenario.way_ms, lambda: self._on_end(entry, caller, placement, complete)
             ),
         )
-        self.clock.after_ms(self.scenario.way_ms, lambda: engine.submit(task))
+        self.clock.call_after_ms(self.scenario.way_ms, lambda: engine.submit(task))
 
-    def _turned_away(
+    def _on_backend_refusal(
         self, entry: EmulatedEntry, caller: Caller, waiter: Waiter, placement: Placement
     ) -> None:
-        """Let an entry read that an engine wants rest, and try another one."""
+        """Record the back-off that an engine asked for, and resubmit the request."""
         address = placement.server.instance.address
-        place = self.entries.index(entry)
-        self._rests.record_backoff(place, placement.server)
-        self._relay.publish_backoff(entry, address, self._rests.record_peer_backoff)
+        index = self.entries.index(entry)
+        self._backoffs.record_backoff(index, placement.server)
+        self._relay.publish_backoff(entry, address, self._backoffs.record_peer_backoff)
         entry.queue.release(placement)
-        wish = waiter.request
-        wish.excluded.add(address)
-        wish.queue_priority = QueuePriority.RESUMED
-        wish.decide_by_s = wish.hold_until_s = self.clock.now_s + RESUME_WAIT_S
+        request = waiter.request
+        request.excluded.add(address)
+        request.queue_priority = QueuePriority.RESUMED
+        request.decide_by_s = request.hold_until_s = self.clock.now_s + RESUME_WAIT_S
         caller.resends += 1
-        if len(wish.excluded) >= MOST_SENDS:
-            self._refused(entry, caller, waiter)
+        if len(request.excluded) >= MAX_SENDS:
+            self._on_refused(entry, caller, waiter)
             return
-        self._submit(entry, caller, wish)
+        self._submit(entry, caller, request)
 
-    def _refused(self, entry: EmulatedEntry, caller: Caller, waiter: Waiter) -> None:
+    def _on_refused(self, entry: EmulatedEntry, caller: Caller, waiter: Waiter) -> None:
         if caller.attempts > 1:
             caller.retry_refused = True
             caller.done = True
             return
         now_s = self.clock.now_s
-        left_s = caller.arrival_s + caller.kind.deadline_ms / MS_PER_S - now_s
-        wait_s = min(entry.queue.retry_after_s(waiter.request), RETURN_SHARE * left_s)
-        self.clock.at(now_s + wait_s, lambda: self._arrive(caller))
+        remaining_s = caller.arrival_s + caller.kind.deadline_ms / MS_PER_S - now_s
+        wait_s = min(entry.queue.retry_after_s(waiter.request), RETRY_WAIT_SHARE * remaining_s)
+        self.clock.call_at(now_s + wait_s, lambda: self._arrive(caller))
 
-    def _first(self, caller: Caller, placement: Placement) -> None:
+    def _on_first_event(self, caller: Caller, placement: Placement) -> None:
         now_s = self.clock.now_s
         placement.server.record_first_event(placement.call)
-        self._rests.record_success(placement.server, placement.call)
-        took_ms = (now_s - placement.call.placed_s) * MS_PER_S
-        placement.server.record_lateness(took_ms - placement.call.predicted_ms, now_s)
+        self._backoffs.record_success(placement.server, placement.call)
+        latency_ms = (now_s - placement.call.placed_s) * MS_PER_S
+        placement.server.record_lateness(latency_ms - placement.call.predicted_ms, now_s)
         caller.latency_s = now_s - caller.arrival_s
 
-    def _ended(
-        self, entry: EmulatedEntry, caller: Caller, placement: Placement, whole: bool
+    def _on_end(
+        self, entry: EmulatedEntry, caller: Caller, placement: Placement, complete: bool
     ) -> None:
         entry.queue.release(placement)
-        caller.done = whole
-        if not whole:
+        caller.done = complete
+        if not complete:
             caller.latency_s = None
 
 
--- a/src/leadhollow/experiment/worth_limit.py
+++ b/src/leadhollow/experiment/worth_limit.py
@@ -1,10 +1,10 @@
-"""An upper bound on what callers can get, whoever places their requests and whatever it knows.
+"""Upper bound on the worth that any placement of the requests of a run can reach.
 
-Engine time is bought at a price in each second. Whatever the prices are, no placement gets more
-than the engines' time is worth by them and what callers' requests are worth beyond what they cost;
-the lowest such sum that is found is the bound. A request costs at least the time in which its
-prompt is read, and for each token the share of a full batch. On time, it is read within its
-objective, and written without a pause after that.
+The bound is the dual of an allocation problem: engine time has a price in each second. For any
+prices, no placement gets more than the value of all engine time plus the surplus of every request,
+its worth less the cost of its engine time. The bound is the lowest sum found over the prices tried.
+A request costs at least the prefill time of its prompt and, for each token, its share of a full
+batch. A request on time is read within its objective and written without a pause after that.
 """
 
 from __future__ import annotations
@@ -17,106 +17,135 @@
 from leadhollow.experiment.outcome import size_weight
 from leadhollow.experiment.scenario import MS_PER_S, Scenario
 
-STEP_S = 1.0  # seconds of engine time that have one price
-SWEEPS = 4
-FACTORS = (0.0, 0.5, 0.8, 1.25, 2.0)  # by which a price is tried
-FIRST_PRICES = 24  # prices that are tried for all seconds together
+STEP_S = 1.0  # engine time within one step has one price
+SWEEPS = 4  # passes over all seconds
+PRICE_FACTORS = (0.0, 0.5, 0.8, 1.25, 2.0)  # candidates, relative to the current price
+FLAT_PRICE_COUNT = 24  # candidates for a single price of all seconds
 
 
-class _Offer:
-    """What serving one caller brings and takes.
+class _PricedRequest:
+    """Worth and engine time of one caller's request.
 
     Parameters
     ----------
-    read, write
-        Engine time of its prompt and of its answer, in seconds.
-    first
+    prefill_s, decode_s
+        Engine time of its prompt and of its response, in seconds.
+    on_time_worth, weighted_late_worth
+        Worth of a response on time and of a late one, weighted by size.
+    arrival_step
         Second of its arrival.
-    read_by, written_by, late_by
-        Last seconds in which it is read and written on time, and either where it is late.
+    prefill_by_step, decode_by_step, late_by_step
+        Last seconds in which it is read on time, written on time, and processed when late.
     """
 
-    __slots__ = ("first", "late", "late_by", "on_time", "read", "read_by", "write", "written_by")
+    __slots__ = (
+        "arrival_step",
+        "decode_by_step",
+        "decode_s",
+        "late_by_step",
+        "on_time_worth",
+        "prefill_by_step",
+        "prefill_s",
+        "weighted_late_worth",
+    )
 
     def __init__(self, *, caller: Caller, scenario: Scenario, longest_pass_s: float) -> None:
         spec = scenario.engine
         model = EngineLatencyModel(spec=spec)
         tokens = caller.events * spec.stride_steps
-        self.read = caller.prompt_tokens / spec.read_tokens_per_s
-        self.write = model.request_ms(0, tokens) / MS_PER_S
-        self.on_time = size_weight(caller) * caller.kind.worth
-        self.late = size_weight(caller) * caller.kind.late_worth
-        lasts_s = caller.events * longest_pass_s
+        self.prefill_s = caller.prompt_tokens / spec.read_tokens_per_s
+        self.decode_s = model.request_ms(0, tokens) / MS_PER_S
+        self.on_time_worth = size_weight(caller) * caller.kind.worth
+        self.weighted_late_worth = size_weight(caller) * caller.kind.late_worth
+        duration_s = caller.events * longest_pass_s
         objective_s = caller.kind.objective_ms / MS_PER_S
         deadline_s = caller.kind.deadline_ms / MS_PER_S
-        self.first = _step(caller.arrival_s)
-        self.read_by = _step(caller.arrival_s + objective_s)
-        self.written_by = _step(caller.arrival_s + objective_s + lasts_s)
-        self.late_by = _step(caller.arrival_s + deadline_s + lasts_s)
-
-    def gain(self, prices: list[float]) -> float:
-        """Give what it is worth beyond what it costs, nothing where it is not served."""
-        reading = min(prices[self.first : self.read_by + 1])
-        writing = min(prices[self.first : self.written_by + 1])
-        late = min(prices[self.first : self.late_by + 1])
-        on_time = self.on_time - self.read * reading - self.write * writing
-        return max(0.0, on_time, self.late - (self.read + self.write) * late)
+        self.arrival_step = _step(caller.arrival_s)
+        self.prefill_by_step = _step(caller.arrival_s + objective_s)
+        self.decode_by_step = _step(caller.arrival_s + objective_s + duration_s)
+        self.late_by_step = _step(caller.arrival_s + deadline_s + duration_s)
+
+    def surplus(self, prices: list[float]) -> float:
+        """Return its worth less its cost at these prices; 0 if it is not worth serving."""
+        prefill_price = min(prices[self.arrival_step : self.prefill_by_step + 1])
+        decode_price = min(prices[self.arrival_step : self.decode_by_step + 1])
+        late_price = min(prices[self.arrival_step : self.late_by_step + 1])
+        on_time = self.on_time_worth - self.prefill_s * prefill_price - self.decode_s * decode_price
+        return max(
+            0.0, on_time, self.weighted_late_worth - (self.prefill_s + self.decode_s) * late_price
+        )
 
 
 def worth_bound(scenario: Scenario, callers: list[Caller]) -> float:
-    """Give the part of what callers ask for that nobody can exceed."""
+    """Return the upper bound on worth, as a share of the worth of all requests."""
     if not callers:
         return 1.0
     longest_pass_s = _longest_pass_s(scenario)
-    offers = [
-        _Offer(caller=caller, scenario=scenario, longest_pass_s=longest_pass_s)
+    requests = [
+        _PricedRequest(caller=caller, scenario=scenario, longest_pass_s=longest_pass_s)
         for caller in callers
     ]
-    steps = 1 + max(offer.late_by for offer in offers)
-    engines_s = [_engines_s(scenario, step) for step in range(steps)]
-    owed = sum(offer.on_time for offer in offers)
-    found = _lowest(offers, engines_s)
-    return min(1.0, found / owed)
+    steps = 1 + max(request.late_by_step for request in requests)
+    engine_time_s = [_engine_time_s(scenario, step) for step in range(steps)]
+    max_worth = sum(request.on_time_worth for request in requests)
+    lowest_sum = _minimise_bound(requests, engine_time_s)
+    return min(1.0, lowest_sum / max_worth)
 
 
-def _lowest(offers: list[_Offer], engines_s: list[float]) -> float:
-    """Try prices, first one for all seconds, then second by second."""
-    steps = len(engines_s)
+def _minimise_bound(requests: list[_PricedRequest], engine_time_s: list[float]) -> float:
+    """Search for prices with a low bound: one price for all seconds, then each second in turn."""
+    steps = len(engine_time_s)
 
     def total(prices: list[float]) -> float:
-        time_worth = sum(price * time for price, time in zip(prices, engines_s, strict=True))
-        return time_worth + sum(offer.gain(prices) for offer in offers)
-
-    dearest = max(offer.on_time / (offer.read + offer.write) for offer in offers)
-    flat = [dearest * place / FIRST_PRICES for place in range(FIRST_PRICES)]
-    best_price = min(flat, key=lambda price: total([price] * steps))
+        time_worth = sum(price * time for price, time in zip(prices, engine_time_s, strict=True))
+        return time_worth + sum(request.surplus(prices) for request in requests)
+
+    max_price = max(
+        request.on_time_worth / (request.prefill_s + request.decode_s) for request in requests
+    )
+    flat_prices = [max_price * index / FLAT_PRICE_COUNT for index in range(FLAT_PRICE_COUNT)]
+    best_price = min(flat_prices, key=lambda price: total([price] * steps))
     prices = [best_price] * steps
-    touching: list[list[_Offer]] = [[] for _ in range(steps)]
-    for offer in offers:
-        for step in range(offer.first, offer.late_by + 1):
-            touching[step].append(offer)
+    requests_by_step: list[list[_PricedRequest]] = [[] for _ in range(steps)]
+    for request in requests:
+        for step in range(request.arrival_step, request.late_by_step + 1):
+            requests_by_step[step].append(request)
     for _ in range(SWEEPS):
         for step in range(steps):
-            _improve(prices, step, touching[step], engines_s[step], dearest / FIRST_PRICES)
+            _improve_price(
+                prices,
+                step,
+                requests_by_step[step],
+                engine_time_s[step],
+                max_price / FLAT_PRICE_COUNT,
+            )
     return total(prices)
 
 
-def _improve(
-    prices: list[float], step: int, offers: list[_Offer], time_s: float, least: float
+def _improve_price(
+    prices: list[float],
+    step: int,
+    requests: list[_PricedRequest],
+    time_s: float,
+    smallest_price: float,
 ) -> None:
-    """Take the price of one second that lowers the bound most; others stay as they are."""
+    """Set the price of one second to the candidate with the lowest bound."""
 
-    def part(price: float) -> float:
+    def price_terms(price: float) -> float:
         prices[step] = price
-        return price * time_s + sum(offer.gain(prices) for offer in offers)
+        return price * time_s + sum(request.surplus(prices) for request in requests)
 
-    before = prices[step]
-    tried: set[float] = {before, least, *(before * factor for factor in FACTORS)}
-    prices[step] = min(sorted(tried), key=_each(part))
+    current_price = prices[step]
+    candidates: set[float] = {
+        current_price,
+        smallest_price,
+        *(current_price * factor for factor in PRICE_FACTORS),
+    }
+    prices[step] = min(sorted(candidates), key=_memoise(price_terms))
 
 
-def _each(work: Callable[[float], float]) -> Callable[[float], float]:
-    """Call a function once for each value."""
+def _memoise(work: Callable[[float], float]) -> Callable[[float], float]:
+    """Wrap a function so that it is called once for each value."""
     known: dict[float, float] = {}
 
     def value(price: float) -> float:
@@ -128,24 +157,24 @@
 
 
 def _longest_pass_s(scenario: Scenario) -> float:
-    """Give the longest time between two events of a request that is not broken off."""
+    """Return the longest time between two events of a request that is not interrupted."""
     spec = scenario.engine
     model = EngineLatencyModel(spec=spec)
     full_ms = model.pass_ms(spec.slots, model.usual_context_tokens(spec.slots))
     return (full_ms + model.prefill_ms(spec.chunk_tokens)) / MS_PER_S
 
 
-def _engines_s(scenario: Scenario, step: int) -> float:
-    """Give the engine time of one second."""
+def _engine_time_s(scenario: Scenario, step: int) -> float:
+    """Return the engine time that is available in one second, summed over engines."""
     begin_s, end_s = step * STEP_S, (step + 1) * STEP_S
-    outs = [change for change in scenario.changes if change.engines_out is not None]
-    moments = [(0.0, 0.0), *((change.at_s, change.engines_out or 0.0) for change in outs)]
+    outages = [change for change in scenario.changes if change.engines_out is not None]
+    outage_starts = [(0.0, 0.0), *((change.at_s, change.engines_out or 0.0) for change in outages)]
     total = 0.0
-    for place, (at_s, share) in enumerate(moments):
-        until_s = moments[place + 1][0] if place + 1 < len(moments) else math.inf
-        lasts_s = max(0.0, min(end_s, until_s) - max(begin_s, at_s))
+    for index, (at_s, share) in enumerate(outage_starts):
+        until_s = outage_starts[index + 1][0] if index + 1 < len(outage_starts) else math.inf
+        duration_s = max(0.0, min(end_s, until_s) - max(begin_s, at_s))
         serving = sum(domain.engines - round(domain.engines * share) for domain in scenario.domains)
-        total += lasts_s * serving
+        total += duration_s * serving
     return total
 
 
--- a/tests/experiment/test_crashes.py
+++ b/tests/experiment/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that end their engines at the size of a large deployment, in virtual time."""
+"""Tests of requests that crash their engines, simulated at the size of a large deployment."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 SEEDS = 3
 
 
-class TestMemoryOfTheFleet:
+class TestCrashMemory:
     @pytest.mark.parametrize("pattern", sorted(PATTERNS))
-    def test_holds_nobody_who_ended_no_engine(self, pattern):
+    def test_quarantines_no_request_that_ended_no_engine(self, pattern):
         assert run_pattern(pattern, CrashMemory.SUSPECTS, seeds=SEEDS)["others_held"] == 0
 
     @pytest.mark.parametrize("pattern", ["one", "five", "one, all else"])
-    def test_sends_no_crasher_after_the_third_end(self, pattern):
-        held = run_pattern(pattern, CrashMemory.SUSPECTS, seeds=SEEDS)
-        assert held["late_sends"] == 0
-        assert held["worst_lost"] <= 6
+    def test_sends_no_crashing_request_after_the_third_end(self, pattern):
+        figures = run_pattern(pattern, CrashMemory.SUSPECTS, seeds=SEEDS)
+        assert figures["late_sends"] == 0
+        assert figures["worst_lost"] <= 6
         assert run_pattern(pattern, CrashMemory.NONE, seeds=1)["worst_lost"] > 50
 
-    def test_loses_fewer_engines_than_a_count(self):
+    def test_loses_fewer_engines_than_a_plain_count_of_ends(self):
         with_suspects = run_pattern("five", CrashMemory.SUSPECTS, seeds=SEEDS)["engines_lost"]
         assert with_suspects < run_pattern("five", CrashMemory.COUNT, seeds=SEEDS)["engines_lost"]
 
-    def test_refuses_no_popular_request_as_a_count_does(self):
+    def test_refuses_no_popular_request_unlike_a_plain_count(self):
         pattern = "none, all else"
         assert run_pattern(pattern, CrashMemory.SUSPECTS, seeds=SEEDS)["others_refused"] == 0
         assert run_pattern(pattern, CrashMemory.COUNT, seeds=SEEDS)["others_refused"] > 100
--- a/tests/experiment/test_domain_fairness.py
+++ b/tests/experiment/test_domain_fairness.py
@@ -1,4 +1,4 @@
-"""Load pattern: callers, entries and engines spread unevenly, with more callers than places."""
+"""Tests that overload affects failure domains alike if callers and engines are spread unevenly."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 SEEDS = (1, 2)
 
 
-def worst_domain(policy: QueuePolicy) -> float:
-    """Give what the callers of the worst failure domain get, as a part of the mean."""
-    found = []
+def worst_domain_share(policy: QueuePolicy) -> float:
+    """Return the worth share of the worst failure domain, relative to the mean of all domains."""
+    ratios = []
     for seed in SEEDS:
         shares = run_once(PATTERN, policy, seed).by_domain.values()
-        found.append(min(shares) / statistics.fmean(shares))
-    return statistics.fmean(found)
+        ratios.append(min(shares) / statistics.fmean(shares))
+    return statistics.fmean(ratios)
 
 
-class TestDomains:
-    def test_an_overload_falls_on_all_failure_domains_alike(self):
-        assert worst_domain(QueuePolicy()) > 0.88
+class TestDomainFairness:
+    def test_overload_affects_all_failure_domains_alike(self):
+        assert worst_domain_share(QueuePolicy()) > 0.88
 
-    def test_it_does_not_where_each_entry_goes_by_its_own_refusals(self):
-        assert worst_domain(QueuePolicy(shares_pressure=False, balances=False)) < 0.8
+    def test_overload_is_uneven_if_entries_count_only_their_own_refusals(self):
+        assert worst_domain_share(QueuePolicy(shares_pressure=False, balances=False)) < 0.8
--- a/tests/experiment/test_free_slots.py
+++ b/tests/experiment/test_free_slots.py
@@ -1,4 +1,4 @@
-"""Load pattern: places become free while entries still count what they refused before."""
+"""Tests that freed slots are used at once while recent refusals still raise the pressure."""
 
 from __future__ import annotations
 
@@ -15,6 +15,6 @@
     return statistics.fmean(run_once(patterns()["blink"], policy, seed).on_time for seed in SEEDS)
 
 
-class TestSparePlaces:
-    def test_are_used_at_once(self):
+class TestFreeSlots:
+    def test_more_requests_are_on_time_if_free_slots_override_the_pressure(self):
         assert on_time(QueuePolicy()) > on_time(QueuePolicy(uses_room=False))
--- a/tests/experiment/test_outage_retries.py
+++ b/tests/experiment/test_outage_retries.py
@@ -1,4 +1,4 @@
-"""Load pattern: all engines out for 1.5 s, and a wave of callers that come back after it."""
+"""Tests that the wave of caller retries after an outage of 1.5 s delays no other requests."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from leadhollow.experiment.runner import run_once
 
 SEEDS = (1, 2)
-ON_TIME_BEFORE = 0.865
-"""Part of the requests that was on time, of the same callers, while those that come back went first
-for 2.5 s after an outage."""
+RETRIES_FIRST_ON_TIME = 0.865
+"""Share of requests on time if, with the same callers, retries go first for 2.5 s after an
+outage."""
 
 
-class TestShortOutage:
-    def test_those_that_come_back_make_no_others_late(self):
+class TestRetriesAfterOutage:
+    def test_retries_do_not_make_other_requests_late(self):
         outcomes = [run_once(patterns()["blink"], QueuePolicy(), seed) for seed in SEEDS]
-        assert statistics.fmean(found.on_time for found in outcomes) > ON_TIME_BEFORE + 0.007
+        assert statistics.fmean(found.on_time for found in outcomes) > RETRIES_FIRST_ON_TIME + 0.007
--- a/tests/experiment/test_size_fairness.py
+++ b/tests/experiment/test_size_fairness.py
@@ -1,4 +1,4 @@
-"""Load pattern: more requests than places, with prompts of very different sizes."""
+"""Tests that large prompts get a fair share of worth under overload."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from leadhollow.experiment.simulation import Simulation
 
 SEEDS = (1, 2)
-LARGEST_TENTH = 0.9
+LARGEST_QUANTILE = 0.9
 
 
-def worth_of_the_largest() -> float:
-    """Give what the largest tenth of the long requests gets, as a part of what all of them get."""
-    found = []
+def largest_worth_share() -> float:
+    """Return the worth share of the largest tenth of the long requests, relative to all of them."""
+    ratios = []
     for seed in SEEDS:
-        world = Simulation(scenario=patterns()["overload"], policy=QueuePolicy(), seed=seed)
-        world.run()
-        callers = [caller for caller in world.callers if caller.kind.name == "long"]
+        simulation = Simulation(scenario=patterns()["overload"], policy=QueuePolicy(), seed=seed)
+        simulation.run()
+        callers = [caller for caller in simulation.callers if caller.kind.name == "long"]
         callers.sort(key=lambda caller: caller.prompt_tokens)
-        largest = callers[int(LARGEST_TENTH * len(callers)) :]
-        found.append(worth_share(largest) / worth_share(callers))
-    return statistics.fmean(found)
+        largest = callers[int(LARGEST_QUANTILE * len(callers)) :]
+        ratios.append(worth_share(largest) / worth_share(callers))
+    return statistics.fmean(ratios)
 
 
-class TestSizes:
-    def test_the_largest_get_as_much_of_their_worth_as_the_others(self):
-        assert worth_of_the_largest() > 0.93
+class TestSizeFairness:
+    def test_the_largest_get_about_the_same_worth_share_as_the_others(self):
+        assert largest_worth_share() > 0.93
 
-    def test_they_do_not_where_small_ones_take_what_is_free_for_a_moment(self, monkeypatch):
+    def test_the_largest_get_less_if_small_ones_are_admitted_by_their_own_size(self, monkeypatch):
         def by_own_size(model, prompt_tokens):
             spare_ms = model.prefill_ms(model.spec.usual_prompt_tokens) - model.prefill_ms(
                 prompt_tokens
@@ -39,4 +39,4 @@
             return min(0.0, spare_ms)
 
         monkeypatch.setattr(engine_choice, "_size_allowance_ms", by_own_size)
-        assert worth_of_the_largest() < 0.9
+        assert largest_worth_share() < 0.9
--- a/tests/experiment/test_view_lag.py
+++ b/tests/experiment/test_view_lag.py
@@ -1,9 +1,9 @@
-"""Many entries before many engines: what the age of the view is worth, near and far.
+"""Tests of the effect of view lag on worth with many entries and engines.
 
-Engines of eight places that write five tokens an event, objectives of 0.5 and 0.6 s, five failure
-domains; a quarter of 98 entries and 100 engines, at a load of four fifths of all places. Ages are
-those that `tests/control/test_uses_at_size.py` measures before 100 engines, and the 0.4 s that all
-news took when they were told together.
+Engines have eight slots and write five tokens per event; objectives are 0.5 and 0.6 s. There are
+five failure domains with a quarter of a deployment of 98 entries and 100 engines, at a load of four
+fifths of all slots. The lags are those that `tests/control/test_uses_at_size.py` measures with 100
+engines. 0.4 s is the lag of all updates when they are sent together.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from leadhollow.routing.model import EngineSpec
 
 SEEDS = (1, 2)
-NEAR_MS, FAR_MS, OLD_MS = 26.0, 330.0, 400.0
+LOCAL_LAG_MS, REMOTE_LAG_MS, COMMON_LAG_MS = 26.0, 330.0, 400.0
 
 ENGINE = EngineSpec(
     slots=8,
@@ -61,32 +61,32 @@
 DOMAINS = tuple(Domain(name=f"d{n}", entries=5, engines=5, share=0.2) for n in range(5))
 
 
-def many_entries(near_ms: float, far_ms: float) -> Scenario:
+def make_scenario(local_lag_ms: float, remote_lag_ms: float) -> Scenario:
     return Scenario(
         name="many-entries",
         engine=ENGINE,
         kinds=KINDS,
         domains=DOMAINS,
         changes=(Change(at_s=0.0, load=1.0),),
-        view_lag_ms=near_ms,
-        far_view_lag_ms=far_ms,
+        view_lag_ms=local_lag_ms,
+        far_view_lag_ms=remote_lag_ms,
         length_s=8.0,
     )
 
 
-def worth(near_ms: float, far_ms: float) -> float:
-    scenario = many_entries(near_ms, far_ms)
+def mean_worth(local_lag_ms: float, remote_lag_ms: float) -> float:
+    scenario = make_scenario(local_lag_ms, remote_lag_ms)
     return sum(run_once(scenario, QueuePolicy(), seed).worth for seed in SEEDS) / len(SEEDS)
 
 
 @pytest.fixture(scope="module")
-def two_lanes() -> float:
-    return worth(NEAR_MS, FAR_MS)
+def split_lag_worth() -> float:
+    return mean_worth(LOCAL_LAG_MS, REMOTE_LAG_MS)
 
 
-class TestManyEntries:
-    def test_gain_by_a_young_view_of_their_own_domain(self, two_lanes):
-        assert two_lanes > worth(OLD_MS, OLD_MS) + 0.04
+class TestViewLag:
+    def test_small_lag_for_the_own_domain_raises_worth(self, split_lag_worth):
+        assert split_lag_worth > mean_worth(COMMON_LAG_MS, COMMON_LAG_MS) + 0.04
 
-    def test_lose_little_by_an_old_view_of_all_others(self, two_lanes):
-        assert two_lanes > worth(NEAR_MS, NEAR_MS) - 0.02
+    def test_large_lag_for_other_domains_costs_little_worth(self, split_lag_worth):
+        assert split_lag_worth > mean_worth(LOCAL_LAG_MS, LOCAL_LAG_MS) - 0.02
