--- a/src/leadhollow/forward/rate_limit_tracker.py
+++ b/src/leadhollow/forward/rate_limit_tracker.py
@@ -215,7 +215,7 @@
         if per_s is None:
             del self._last_log_s[life]
         log.info(
-            "rate limit of server removed" if per_s is None else "rate limit of server in force",
+            "server limit lifted" if per_s is None else "server limit in force",
             instance=server.instance.instance,
             address=server.instance.address,
             limit_per_s=per_s,
--- a/src/leadhollow/forward/stream_attempt.py
+++ b/src/leadhollow/forward/stream_attempt.py
@@ -300,7 +300,7 @@
         if exchange.metadata.instance not in (None, self.instance):
             self._context.directory.record_instance_mismatch(self.instance)
         log.info(
-            "engine refused the request",
+            "engine refused",
             request=self._call.request_id,
             instance=self.instance,
             status=exchange.status,
--- a/src/leadhollow/forward/stream_hedge.py
+++ b/src/leadhollow/forward/stream_hedge.py
@@ -109,9 +109,7 @@
                 if self._relay.batches_sent != batches_sent:
                     return None  # the first engine continued
                 if found:
-                    log.info(
-                        "another engine takes over", request=request, instance=attempt.instance
-                    )
+                    log.info("another engine goes on", request=request, instance=attempt.instance)
                     self._relay.owner = attempt
                     self._on_takeover()
                     takes_over = True
