--- a/src/leadhollow/backend/installer.py
+++ b/src/leadhollow/backend/installer.py
@@ -299,6 +299,11 @@
             self._remove_old_versions(model.root)
 
     def _remove_old_versions(self, root: str) -> None:
+        """Record a root as the version run last, and remove those run longest ago.
+
+        At most ``MAX_VERSIONS`` are kept. The files of the others are deleted in a thread, which
+        does not block the event loop.
+        """
         if root in self._recent_roots:
             self._recent_roots.remove(root)
         self._recent_roots.append(root)
--- a/src/leadhollow/decide/engine_queue.py
+++ b/src/leadhollow/decide/engine_queue.py
@@ -128,7 +128,8 @@
         self._pressure: dict[str, Pressure] = {}
         self._waiters: list[Waiter] = []
         self._on_waiting: Callable[[], None] = _nothing
-        self._held: list[Waiter] = []  # late requests, placed only in slots that nobody else needs
+        # late requests, placed only in slots that no other request needs
+        self._held: list[Waiter] = []
         directory.on_change(self._on_directory_change)
 
     def on_waiting(self, listener: Callable[[], None]) -> None:
--- a/src/leadhollow/decide/limit_table.py
+++ b/src/leadhollow/decide/limit_table.py
@@ -13,7 +13,7 @@
 from zlib import crc32
 
 MAX_LIMITS = 1_024
-"""Number of server lives that are remembered. Beyond it the one first heard of is dropped."""
+"""Number of server lives that are remembered. Beyond it the one recorded first is removed."""
 
 NEVER_S = float("-inf")
 
--- a/src/leadhollow/decide/share_allocator.py
+++ b/src/leadhollow/decide/share_allocator.py
@@ -17,7 +17,7 @@
 LEASE_S = 1.2
 """Validity of a share, counted from the request of its entry. Entries ask several times in it."""
 
-DEMAND_VALID_S = 0.6  # an entry that has stopped asking has ended or is out of touch
+DEMAND_VALID_S = 0.6  # an entry that has stopped asking has ended or is unreachable
 USABLE_DEMAND_SHARE = 0.5
 """Share of the demand of an entry that may be leased to it while other entries can use the rest.
 Requests do not arrive exactly when a token is free, and other servers suit some of them better."""
@@ -152,6 +152,12 @@
         return {} if plan is None else dict(plan.shares)
 
     def _lease(self, life: str, vm: str, plan: _Plan, now_s: float) -> float:
+        """Lease an entry its share of the limit of one server, and return the share.
+
+        The planned share is the entry's share in the plan, scaled to the part of the limit that may
+        be leased now. The entry gets less while leases of other entries leave less than that. A
+        share below ``MIN_SHARE``, which may be negative, is returned but not leased.
+        """
         leasable = self._leasable()
         planned = plan.shares[vm] * leasable / LEASED_SHARE
         share = min(planned, leasable - self._in_use(life, now_s, without=vm))
@@ -202,7 +208,7 @@
             self._planned_per_s[key] = per_s
 
     def _is_suitable(self, plan: _Plan, server: LimitedServer) -> bool:
-        """Tell whether the holders are in touch and still need what they hold."""
+        """Tell whether the holders still ask for shares and need the shares that they hold."""
         if not 1 / REPLAN_LIMIT_FACTOR < server.per_s / plan.per_s < REPLAN_LIMIT_FACTOR:
             return False
         if any(vm not in self._demands for vm in plan.shares):
@@ -264,7 +270,7 @@
 
 
 def _largest_share(leases: list[tuple[float, float]], now_s: float) -> float:
-    """Return the largest share in force. The entry may not have heard of a smaller one yet."""
+    """Return the largest share in force. The entry may not have received a smaller one yet."""
     return max((share for share, until_s in leases if until_s > now_s), default=0.0)
 
 
--- a/src/leadhollow/staging/origin_schedule.py
+++ b/src/leadhollow/staging/origin_schedule.py
@@ -39,7 +39,8 @@
         self._begin_s = begin_s
         self._piece_s = piece_s
         self._ranks: dict[int, int] = {}  # empty while pieces are read in the order of their index
-        self._unread = 0  # bit mask of the pieces that nobody held when the origin failed
+        # bit mask of the pieces that no stager was known to hold when the origin failed
+        self._unread = 0
         self.unavailable = False
 
     def record_failure(self, unread: Iterable[int], now_s: float) -> None:
