--- a/src/leadhollow/decide/engine_choice.py
+++ b/src/leadhollow/decide/engine_choice.py
@@ -34,9 +34,8 @@
 """Time before weights become too old below which only engines with a recent report get requests."""
 
 PATH_DELAY_FACTOR = 4  # a slow path may be this much slower by the time the request takes it
-RECENT_REPORT_SHARE = (
-    0.6  # of the time for which a report is valid; three reports arrive in that time
-)
+# Share of the time for which a report is valid. Three reports arrive in that share of it.
+RECENT_REPORT_SHARE = 0.6
 MIN_START_TIME_S = 0.35  # time in which a request begins at an engine that is not overloaded
 NO_REPORT_PENALTY_MS = 250.0  # for an engine that sends no reports while others do
 PEER_BACKOFF_PENALTY_MS = 400.0
--- a/src/leadhollow/decide/engine_queue.py
+++ b/src/leadhollow/decide/engine_queue.py
@@ -29,9 +29,8 @@
 started or come back would otherwise stay half empty for that long."""
 
 MAX_HELD = 64  # retries of callers that an entry holds beyond their decision deadline
-MAX_FAILED_RESUMPTIONS = (
-    16  # resumed streams without a slot, before the other held ones are skipped
-)
+# Number of resumed streams that find no slot before the other held requests are skipped.
+MAX_FAILED_RESUMPTIONS = 16
 MAX_HOLD_PRESSURE = 0.5
 """Pressure from which no request is held. Few held requests would get a slot in time, and for the
 others an early refusal is better than waiting in vain."""
--- a/src/leadhollow/experiment/emulated_engine.py
+++ b/src/leadhollow/experiment/emulated_engine.py
@@ -11,9 +11,8 @@
 from leadhollow.decide.engine_latency import EngineLatencyModel
 from leadhollow.routing.model import EngineSpec
 
-FIRST_EVENT_OVERHEAD_MS = (
-    12.0  # of a first event on top of prefill and decode, as engines declare it
-)
+# Time for a first event in addition to prefill and decode, as engines declare it.
+FIRST_EVENT_OVERHEAD_MS = 12.0
 
 
 class EngineTask:
--- a/src/leadhollow/staging/installer.py
+++ b/src/leadhollow/staging/installer.py
@@ -169,9 +169,8 @@
         now_s = asyncio.get_running_loop().time()
         plan = plan_versions(progress, held=held, version_s=self._version_s, now_s=now_s)
         if held == progress[0].number:
-            self._window.urgent = (
-                False  # not earlier: other stagers may still need pieces from here
-            )
+            # Not reset earlier: other stagers may still need pieces from this one.
+            self._window.urgent = False
         elif is_urgent(progress, held=held, version_s=self._version_s, now_s=now_s):
             self._window.urgent = True
         wanted = (
--- a/src/leadhollow/state/election.py
+++ b/src/leadhollow/state/election.py
@@ -22,9 +22,8 @@
 from leadhollow.wire.generated.ttypes import Done, StandNow, StateProbe, VoteRequest
 
 MAX_TIMEOUT_FACTOR = 1.8
-ELECTION_PROBE_INTERVAL_S = (
-    0.05  # a reply takes a few milliseconds; start times of replicas differ by more than that
-)
+# A reply takes a few milliseconds, and start times of replicas differ by more than that.
+ELECTION_PROBE_INTERVAL_S = 0.05
 
 log = get_logger("state")
 
--- a/tests/soak/self_reports.py
+++ b/tests/soak/self_reports.py
@@ -6,9 +6,8 @@
 from typing import NamedTuple
 
 READ_S = 0.5  # from a server's request for rest until the entry has to keep it
-PASSED_ON_S = (
-    0.1  # from an answer at its caller until nothing arrives any more that was sent before
-)
+# Time after the caller's answer in which requests that were sent before it may still arrive.
+PASSED_ON_S = 0.1
 
 
 class Sender(NamedTuple):
